--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 // A process starts with 1,024 files in most places, whatever its settings allow it.
-void raise_file_limit(zd::Settings& settings) {
+void raise_file_limit(zincdyke::Settings& settings) {
     rlimit limit{};
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
     const rlim_t wanted = rlim_t{settings.max_sockets} + 64;
@@ -24,8 +24,8 @@
     if (limit.rlim_cur >= wanted) return;
     const auto fewer = static_cast<std::uint32_t>(
         std::max<rlim_t>(32, limit.rlim_cur - std::min<rlim_t>(limit.rlim_cur, 64)));
-    zd::log::warn("event=few_files open_files={} max_sockets={} used={}", limit.rlim_cur,
-                  settings.max_sockets, fewer);
+    zincdyke::log::warn("event=few_files open_files={} max_sockets={} used={}", limit.rlim_cur,
+                        settings.max_sockets, fewer);
     settings.max_sockets = std::min(settings.max_sockets, fewer);
 }
 
@@ -42,11 +42,11 @@
     } catch (const CLI::ParseError& e) {
         return app.exit(e) == 0 ? 0 : 2;
     }
-    zd::Settings settings;
-    zd::Policy policy;
+    zincdyke::Settings settings;
+    zincdyke::Policy policy;
     try {
-        settings = zd::load_settings(config);
-        if (!policy_file.empty()) policy = zd::load_policy(policy_file);
+        settings = zincdyke::load_settings(config);
+        if (!policy_file.empty()) policy = zincdyke::load_policy(policy_file);
     } catch (const std::exception& e) {
         std::cerr << "zincdyke: " << e.what() << '\n';
         return 2;
@@ -56,26 +56,28 @@
         return 0;
     }
     std::signal(SIGPIPE, SIG_IGN);
-    zd::log::setup(settings.node.v);
+    zincdyke::log::setup(settings.node.value());
     raise_file_limit(settings);
     try {
-        zd::Loop loop;
-        std::unique_ptr<zd::Node> node;
-        zd::RealEnv env(loop, settings, [&node](const zd::NodeName& from, const zd::wire::PeerMessage& m) {
-            if (node) node->on_peer(from, m);
-        });
-        node = std::make_unique<zd::Node>(env, settings, policy);
-        zd::ServerLimits limits;
+        zincdyke::Loop loop;
+        std::unique_ptr<zincdyke::Node> node;
+        zincdyke::RealEnv env(loop, settings,
+                              [&node](const zincdyke::NodeName& from, const zincdyke::wire::PeerMessage& m) {
+                                  if (node) node->on_peer(from, m);
+                              });
+        node = std::make_unique<zincdyke::Node>(env, settings, policy);
+        zincdyke::ServerLimits limits;
         limits.connections = settings.sockets().server;
-        zd::HttpServer server(
-            loop, settings.api_addr, limits,
-            [&node](const zd::HttpRequest& req, const zd::Reply& reply) { node->on_request(req, reply); });
+        zincdyke::HttpServer server(loop, settings.api_addr, limits,
+                                    [&node](const zincdyke::HttpRequest& req, const zincdyke::Reply& reply) {
+                                        node->on_request(req, reply);
+                                    });
         node->start();
-        zd::log::info("event=started version={} api={} cluster={}", ZINCDYKE_VERSION, settings.api_addr,
-                      settings.cluster_listen);
+        zincdyke::log::info("event=started version={} api={} cluster={}", ZINCDYKE_VERSION, settings.api_addr,
+                            settings.cluster_listen);
         loop.run();
     } catch (const std::exception& e) {
-        zd::log::error("event=ended why=\"{}\"", e.what());
+        zincdyke::log::error("event=ended why=\"{}\"", e.what());
         return 1;
     }
     return 0;
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -3,22 +3,22 @@
 #include <map>
 #include <memory>
 
+#include "autoscaler/autoscaler.h"
 #include "base/env.h"
 #include "base/settings.h"
 #include "cloud/cloud.h"
-#include "cluster/cluster.h"
+#include "cluster/cancellation_watermark.h"
+#include "cluster/cluster_coordinator.h"
 #include "cluster/format_level.h"
-#include "cluster/horizon.h"
-#include "fleet/fleet.h"
-#include "jobs/api.h"
-#include "jobs/ledger.h"
+#include "jobs/jobs_api.h"
 #include "jobs/relay.h"
+#include "jobs/task_committer.h"
 #include "policy/policy.h"
-#include "store/model.h"
-#include "store/store.h"
-#include "supply/supply.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
+#include "workers/worker_manager.h"
 
-namespace zd {
+namespace zincdyke {
 
 class Node {
   public:
@@ -26,9 +26,9 @@
     void start();
     void on_request(const HttpRequest& req, const Reply& reply);
     void on_peer(const NodeName& from, const wire::PeerMessage& m);
-    const Model& model() const { return model_; }
-    const Cluster& cluster() const { return cluster_; }
-    const Horizon& horizon() const { return horizon_; }
+    const StateCache& state_cache() const { return state_cache_; }
+    const ClusterCoordinator& cluster() const { return cluster_; }
+    const CancellationWatermark& cancellation_watermark() const { return cancellation_watermark_; }
 
   private:
     void beat();
@@ -40,23 +40,23 @@
     Env& env_;
     const Settings& settings_;
     struct Peer {
-        Mono heard{};
-        bool store_ok = false;
+        SteadyTime heard{};
+        bool store_reachable = false;
         double write_demand = 0;
     };
     std::map<NodeName, Peer> peers_;
     std::uint64_t beats_ = 0;
-    Model model_;
+    StateCache state_cache_;
     StoreClient store_;
     CloudClient cloud_;
-    Cluster cluster_;
+    ClusterCoordinator cluster_;
     FormatLevel format_level_;
-    Horizon horizon_;
-    Ledger ledger_;
-    Fleet fleet_;
+    CancellationWatermark cancellation_watermark_;
+    TaskCommitter committer_;
+    WorkerManager workers_;
     JobsApi api_;
     Relay relay_;
-    Supply supply_;
+    Autoscaler autoscaler_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/app/real_env.cpp
+++ b/src/app/real_env.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-namespace zd {
+namespace zincdyke {
 
 namespace {
 constexpr std::size_t mib = std::size_t{1024} * 1024;
 
 // An answer in memory takes many times its length as JSON: what is too long is read in pages instead
-// (Cluster::watch).
+// (ClusterCoordinator::watch).
 std::size_t most_answer(const Settings& s) {
     return std::clamp(static_cast<std::size_t>(s.memory_mb) * mib / 32, mib, 8 * mib);
 }
@@ -30,6 +30,7 @@
       cloud_(loop, limits(settings.sockets().cloud, settings.sockets().cloud, 128, 4 * mib)),
       workers_(loop, limits(settings.sockets().workers, 2, 16, mib)),
       peers_(loop, settings, std::move(on_peer)),
-      rng_(static_cast<std::uint64_t>(Loop::wall().v) ^ std::hash<std::string>()(settings.node.v)) {}
+      rng_(static_cast<std::uint64_t>(Loop::wall().value()) ^
+           std::hash<std::string>()(settings.node.value())) {}
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -5,13 +5,13 @@
 #include "loop/loop.h"
 #include "loop/peers.h"
 
-namespace zd {
+namespace zincdyke {
 
 class RealEnv : public Env {
   public:
     RealEnv(Loop& loop, const Settings& settings, PeerLinks::Handler on_peer);
-    Mono now() override { return Loop::now(); }
-    WallMs wall() override { return Loop::wall(); }
+    SteadyTime now() override { return Loop::now(); }
+    WallTime wall() override { return Loop::wall(); }
     TimerId after(Duration d, std::function<void()> fn) override { return loop_.after(d, std::move(fn)); }
     void cancel(TimerId id) override { loop_.cancel(id); }
     void http(const std::string& address, HttpRequest req, Duration timeout, Reply done) override {
@@ -31,4 +31,4 @@
     std::mt19937_64 rng_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/supply/arrivals.cpp
+++ b/src/autoscaler/arrivals.cpp
@@ -1,8 +1,8 @@
-#include "supply/arrivals.h"
+#include "autoscaler/arrivals.h"
 
 #include <algorithm>
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr std::int64_t window_ms = 240'000;
 constexpr double min_window_s = 30;  // a rate over less would be chance
@@ -14,18 +14,18 @@
     if (arrivals_.contains(key)) return;
     const bool latest = arrivals_.empty() || job.submitted > arrivals_.rbegin()->first.first;
     if (latest) latest_spec_ = job.spec;
-    if (first_ == WallMs{}) first_ = job.submitted;
+    if (first_ == WallTime{}) first_ = job.submitted;
     const TaskIndex machines = job.spec.shape == wire::Shape::array ? 1 : job.spec.tasks;
     arrivals_.emplace(key, Arrival{machines, job.spec.image});
     if (arrivals_.size() > max_arrivals) arrivals_.erase(arrivals_.begin());
 }
 
-void ArrivalStatistics::expire(WallMs now) {
-    while (!arrivals_.empty() && arrivals_.begin()->first.first.v + window_ms < now.v)
+void ArrivalStatistics::expire(WallTime now) {
+    while (!arrivals_.empty() && arrivals_.begin()->first.first.value() + window_ms < now.value())
         arrivals_.erase(arrivals_.begin());
 }
 
-double ArrivalStatistics::machines_per_s(WallMs now) const {
+double ArrivalStatistics::machines_per_s(WallTime now) const {
     double machines = 0;
     for (const auto& [key, arrival] : arrivals_) machines += arrival.machines;
     return machines / window_s(now);
@@ -49,9 +49,9 @@
 }
 
 // Since the first submission at most, so that a young class isn't taken for a rare one.
-double ArrivalStatistics::window_s(WallMs now) const {
-    const double since_first_s = static_cast<double>(now.v - first_.v) / 1000.0;
+double ArrivalStatistics::window_s(WallTime now) const {
+    const double since_first_s = static_cast<double>(now.value() - first_.value()) / 1000.0;
     return std::clamp(since_first_s, min_window_s, window_ms / 1000.0);
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/arrivals.h
+++ b/src/autoscaler/arrivals.h
@@ -7,10 +7,10 @@
 #include <utility>
 
 #include "base/types.h"
-#include "store/model.h"
+#include "store/state_cache.h"
 #include "wire/json_api.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// The submissions of one job class within a sliding window.
 class ArrivalStatistics {
@@ -18,14 +18,14 @@
     /// Takes a job into account; one that is known already changes nothing.
     void record(const Job& job);
     /// Forgets the submissions that have left the window.
-    void expire(WallMs now);
+    void expire(WallTime now);
     /// Whether the window holds no submission.
     bool empty() const { return arrivals_.empty(); }
     /// Description of the job submitted last.
     const wire::JobSpec& latest_spec() const { return latest_spec_; }
     /// Machines that are asked for in a second. A gang asks for one for each of its tasks, an array for one;
     /// of a service, the places for its replicas.
-    double machines_per_s(WallMs now) const;
+    double machines_per_s(WallTime now) const;
     /// The most machines, or places, that one of the jobs asks for.
     std::size_t largest() const;
     /// The share of each image in the machines asked for.
@@ -36,11 +36,11 @@
         TaskIndex machines = 0;
         std::string image;
     };
-    double window_s(WallMs now) const;
+    double window_s(WallTime now) const;
 
     wire::JobSpec latest_spec_;
-    std::map<std::pair<WallMs, JobId>, Arrival> arrivals_;  // by the time of submission
-    WallMs first_;                                          // of all that were recorded
+    std::map<std::pair<WallTime, JobId>, Arrival> arrivals_;  // by the time of submission
+    WallTime first_;                                          // of all that were recorded
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/supply.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,12 +1,12 @@
-#include "supply/supply.h"
+#include "autoscaler/autoscaler.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "autoscaler/demand.h"
 #include "base/log.h"
-#include "supply/demand.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration tick_interval = std::chrono::milliseconds(500);
 constexpr std::size_t many_machines = 1500;  // from here on plans are made half as often
@@ -30,13 +30,14 @@
 constexpr double max_catch_up_s = 8, catch_up_margin_s = 1;
 }  // namespace
 
-Supply::Supply(Env& env, const Settings& settings, const Policy& policy, StoreClient& store, Model& model,
-               Cluster& cluster, CloudClient& cloud, const SendPeer& send)
+Autoscaler::Autoscaler(Env& env, const Settings& settings, const Policy& policy, StoreClient& store,
+                       StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud,
+                       const SendPeer& send)
     : env_(env),
       settings_(settings),
       policy_(policy),
       store_(store),
-      model_(model),
+      state_cache_(model),
       cluster_(cluster),
       cloud_(cloud),
       send_(send),
@@ -44,36 +45,36 @@
       provisioner_(env, settings, policy_, cluster, cloud, inventory_, send),
       reservations_(env, settings, policy_, model, inventory_, send) {}
 
-void Supply::start() { tick(); }
+void Autoscaler::start() { tick(); }
 
-void Supply::on_beat(const NodeName& from, const wire::Beat& beat) {
-    const Mono now = env_.now();
+void Autoscaler::on_peer_heartbeat(const NodeName& from, const wire::PeerHeartbeat& beat) {
+    const SteadyTime now = env_.now();
     for (const auto& machine : beat.machines) {
         // Only the owner's word counts: one back from a cut still told of machines it had lost, as silent.
-        if (model_.parts()[model_.part_of(machine.id)].owner != from) continue;
+        if (state_cache_.shards()[state_cache_.shard_of(machine.id)].leader != from) continue;
         if (!inventory_.was_returned(machine.id)) {
             inventory_.record_report(from, machine, now);
-        } else if (machine.busy_tasks > 0 && cluster_.is_supplier()) {
+        } else if (machine.busy_tasks > 0 && cluster_.is_autoscaler_leader()) {
             // Its owner missed the word of the return, and still counts tasks on it.
-            send_(from, wire::Gone{{machine.id}});
+            send_(from, wire::MachinesTerminatedNotification{{machine.id}});
         }
     }
 }
 
-void Supply::on_drained(const wire::Drained& message) {
+void Autoscaler::on_drain_response(const wire::DrainResponse& message) {
     // Together with others: a call for each machine spent the cloud's budget, and rents waited behind them.
-    if (cluster_.is_supplier()) drained_.insert(message.machine);
+    if (cluster_.is_autoscaler_leader()) drained_.insert(message.machine);
 }
 
-void Supply::on_gone(const wire::Gone& message) {
+void Autoscaler::on_machines_terminated(const wire::MachinesTerminatedNotification& message) {
     for (const auto& id : message.machines) inventory_.record_returned(id, env_.now());
 }
 
-void Supply::tick() {
+void Autoscaler::tick() {
     const bool many = inventory_.rented().size() >= many_machines;
     env_.after(many ? 2 * tick_interval : tick_interval, [this] { tick(); });
-    const Mono now = env_.now();
-    if (!cluster_.is_supplier()) return deactivate();
+    const SteadyTime now = env_.now();
+    if (!cluster_.is_autoscaler_leader()) return deactivate();
     if (!active_) activate(now);
     if (now >= types_due_) read_types();
     if (now >= list_due_ && !listing_) {
@@ -85,10 +86,10 @@
     if (!listed_) return;
     return_drained();
     plan();
-    clean_orphans();
+    delete_orphaned_pages();
 }
 
-void Supply::activate(Mono now) {
+void Autoscaler::activate(SteadyTime now) {
     active_ = true;
     listed_ = false;
     active_since_ = now;
@@ -96,97 +97,98 @@
     provisioner_.reset();
 }
 
-void Supply::deactivate() {
+void Autoscaler::deactivate() {
     active_ = false;
     drained_.clear();
     reservations_.reset();
 }
 
-void Supply::read_types() {
-    types_due_ = env_.now() + seconds(model_.types().empty() ? types_retry_s : types_interval_s);
+void Autoscaler::read_types() {
+    types_due_ =
+        env_.now() + seconds(state_cache_.machine_types().empty() ? types_retry_s : types_interval_s);
     cloud_.types([this](const std::optional<std::vector<wire::MachineType>>& types) {
-        if (types && !types->empty() && cluster_.is_supplier()) on_types(*types);
+        if (types && !types->empty() && cluster_.is_autoscaler_leader()) on_types(*types);
     });
 }
 
 // Writes machine types that have changed to the state service.
-void Supply::on_types(const std::vector<wire::MachineType>& types) {
+void Autoscaler::on_types(const std::vector<wire::MachineType>& types) {
     const Json value = wire::types_to_json(types);
-    if (value == wire::types_to_json(model_.types())) return;
-    Txn txn;
-    txn.conditions.push_back({keys::types, model_.version(keys::types)});
-    txn.writes.push_back({keys::types, value, std::nullopt});
-    store_.commit(txn, Urgency::lease, [this, value](const CommitResult& result) {
-        if (result.outcome == Outcome::ok) model_.apply({keys::types, value, result.revision});
+    if (value == wire::types_to_json(state_cache_.machine_types())) return;
+    Transaction txn;
+    txn.conditions.push_back({keys::machine_types, state_cache_.version(keys::machine_types)});
+    txn.writes.push_back({keys::machine_types, value, std::nullopt});
+    store_.commit(txn, RequestPriority::lease, [this, value](const CommitResult& result) {
+        if (result.outcome == Outcome::ok) state_cache_.apply({keys::machine_types, value, result.revision});
     });
 }
 
 // Reads the cloud's list page by page, from behind `after`; `seen` holds the machines on the pages before.
-void Supply::read_list(const std::string& after, std::set<MachineId> seen) {
+void Autoscaler::read_list(const std::string& after, std::set<MachineId> seen) {
     listing_ = true;
     cloud_.list(after, [this, seen = std::move(seen)](const std::optional<wire::MachinePage>& page) mutable {
         listing_ = false;
-        if (!page || !cluster_.is_supplier()) return;
-        const Mono now = env_.now();
+        if (!page || !cluster_.is_autoscaler_leader()) return;
+        const SteadyTime now = env_.now();
         for (const auto& machine : page->machines) {
             seen.insert(machine.id);
             inventory_.record_listed(machine, now);
         }
         if (page->more && !page->machines.empty())
-            return read_list(page->machines.back().id.v, std::move(seen));
+            return read_list(page->machines.back().id.value(), std::move(seen));
         listed_ = true;
-        announce_sighted();
+        announce_discovered_machines();
         inventory_.forget_unlisted(seen, now);
     });
 }
 
-void Supply::announce_sighted() {
-    std::vector<wire::SightedMachine> machines = inventory_.unheard(env_.now());
+void Autoscaler::announce_discovered_machines() {
+    std::vector<wire::DiscoveredMachine> machines = inventory_.unheard(env_.now());
     while (!machines.empty()) {
-        const std::size_t count = std::min(supply::max_machines_per_message, machines.size());
+        const std::size_t count = std::min(autoscaler::max_machines_per_message, machines.size());
         const auto first = machines.end() - static_cast<std::ptrdiff_t>(count);
-        wire::Sighted message;
+        wire::MachinesDiscoveredNotification message;
         message.machines.assign(first, machines.end());
         machines.erase(first, machines.end());
         for (const auto& node : settings_.all_nodes()) send_(node, message);
     }
 }
 
-void Supply::return_drained() {
+void Autoscaler::return_drained() {
     const auto machines = std::exchange(drained_, {});
-    provisioner_.give_back({machines.begin(), machines.end()}, supply::ReturnReason::idle);
+    provisioner_.give_back({machines.begin(), machines.end()}, autoscaler::ReturnReason::idle);
 }
 
-void Supply::clean_orphans() {
-    if (cleaning_ || model_.orphans().empty()) return;
-    const std::string key = *model_.orphans().begin();
+void Autoscaler::delete_orphaned_pages() {
+    if (cleaning_ || state_cache_.orphaned_pages().empty()) return;
+    const std::string key = *state_cache_.orphaned_pages().begin();
     const JobId id = keys::job_of_page(key);
-    Txn txn;
+    Transaction txn;
     // Only where the job is over for good: its final record is there and its live one is not.
     txn.conditions.push_back({keys::job(id), Revision{}});
     txn.writes.push_back({key, std::nullopt, std::nullopt});
     cleaning_ = true;
-    store_.commit(txn, Urgency::user, [this, key](const CommitResult& result) {
-        if (result.outcome == Outcome::ok) model_.apply({key, std::nullopt, result.revision});
+    store_.commit(txn, RequestPriority::user, [this, key](const CommitResult& result) {
+        if (result.outcome == Outcome::ok) state_cache_.apply({key, std::nullopt, result.revision});
         env_.after(orphan_interval, [this] { cleaning_ = false; });
     });
 }
 
-void Supply::plan() {
-    if (model_.types().empty()) return;
-    const Mono now = env_.now();
-    supply::PlanInput input;
+void Autoscaler::plan() {
+    if (state_cache_.machine_types().empty()) return;
+    const SteadyTime now = env_.now();
+    autoscaler::PlanInput input;
     Faulty faulty;
-    input.types = &model_.types();
+    input.types = &state_cache_.machine_types();
     input.most_new = provisioner_.max_planned();
     add_machines(input, faulty, now);
     find_silent_placements(faulty, now);
     add_rentals_under_way(input);
     input.refused = provisioner_.refused(now);
-    input.demands = supply::waiting_demands(settings_, policy_, model_, env_.wall());
+    input.demands = autoscaler::waiting_demands(settings_, policy_, state_cache_, env_.wall());
     reservations_.update(input);
-    input.demands = supply::merge(std::move(input.demands));
-    const supply::Plan plan = supply::make_plan(std::move(input));
+    input.demands = autoscaler::merge(std::move(input.demands));
+    const autoscaler::Plan plan = autoscaler::make_plan(std::move(input));
     reservations_.announce();
     if (inventory_complete(now)) provisioner_.rent(plan.rent);
     drain_idle(plan.wanted, now);
@@ -194,23 +196,23 @@
 }
 
 // Adds the machines that can be counted on, and finds those to return.
-void Supply::add_machines(supply::PlanInput& input, Faulty& faulty, Mono now) {
+void Autoscaler::add_machines(autoscaler::PlanInput& input, Faulty& faulty, SteadyTime now) {
     for (auto& [id, machine] : inventory_.rented()) {
         if (machine.returning || inventory_.was_returned(id)) continue;
-        const wire::MachineType* type = model_.type(machine.type);
+        const wire::MachineType* type = state_cache_.machine_type(machine.type);
         if (type == nullptr) continue;
         if (machine.phase == wire::MachinePhase::failed) {
             faulty.failed.push_back(id);
             continue;
         }
-        const supply::MachineReport* report = inventory_.fresh_report(id, now);
+        const autoscaler::MachineReport* report = inventory_.fresh_report(id, now);
         if (report != nullptr && is_lost(report->beat)) {
             faulty.silent.push_back(id);
             continue;
         }
         const bool heard = report != nullptr && !report->beat.address.empty();
         if (heard) machine.unheard_since = {};
-        supply::Bin bin{id, machine.type, machine.zone, machine.spot, {}, false, {}};
+        autoscaler::Bin bin{id, machine.type, machine.zone, machine.spot, {}, false, {}};
         const bool usable = heard ? add_heard_slots(bin, report->beat, *type)
                             : machine.phase == wire::MachinePhase::running
                                 ? add_unheard_slots(bin, machine, *type, faulty, now)
@@ -220,15 +222,15 @@
 }
 
 // A machine that its owner hears: its free room, and that of its tasks when they end.
-bool Supply::add_heard_slots(supply::Bin& bin, const wire::MachineBeat& beat,
-                             const wire::MachineType& type) const {
+bool Autoscaler::add_heard_slots(autoscaler::Bin& bin, const wire::MachineStatus& beat,
+                                 const wire::MachineType& type) const {
     if (!beat.usable) return false;
-    Room free = type.room;
-    for (const auto& ref : model_.on_machine(bin.id)) {
-        const Job* job = model_.job(ref.job);
+    Resources free = type.capacity;
+    for (const auto& ref : state_cache_.tasks_on(bin.id)) {
+        const Job* job = state_cache_.job(ref.job);
         if (job == nullptr) continue;
         free -= job->spec.need;
-        const double run_s = supply::expected_run_s(job->spec);
+        const double run_s = autoscaler::expected_run_s(job->spec);
         const double left_s = std::max(min_task_left_s, run_s * task_left_of_estimate);
         bin.slots.push_back({left_s, job->spec.need});
     }
@@ -238,87 +240,88 @@
 
 // Up by the cloud's word: not slow to boot, whatever its age. After an election or a restart its owner may
 // not have heard it yet; one that nobody hears for long can't be used and is returned.
-bool Supply::add_unheard_slots(supply::Bin& bin, supply::RentedMachine& machine,
-                               const wire::MachineType& type, Faulty& faulty, Mono now) const {
-    if (machine.unheard_since == Mono{}) machine.unheard_since = now;
+bool Autoscaler::add_unheard_slots(autoscaler::Bin& bin, autoscaler::RentedMachine& machine,
+                                   const wire::MachineType& type, Faulty& faulty, SteadyTime now) const {
+    if (machine.unheard_since == SteadyTime{}) machine.unheard_since = now;
     const Duration unheard = now - machine.unheard_since;
     const double keep_s = settings_.lease_s + policy_.silent_keep_s + unheard_margin_s;
     if (!machine.ever_up && unheard > seconds(keep_s)) faulty.silent.push_back(bin.id);
     if (unheard > seconds(unheard_usable_s)) return false;
-    bin.slots.push_back({unheard_free_in_s, type.room});
+    bin.slots.push_back({unheard_free_in_s, type.capacity});
     return true;
 }
 
 // Neither heard nor listed as running: booting, unless it was up before.
-bool Supply::add_booting_slots(supply::Bin& bin, const supply::RentedMachine& machine,
-                               const wire::MachineType& type, Faulty& faulty, Mono now) const {
+bool Autoscaler::add_booting_slots(autoscaler::Bin& bin, const autoscaler::RentedMachine& machine,
+                                   const wire::MachineType& type, Faulty& faulty, SteadyTime now) const {
     if (machine.ever_up) return false;
-    const double age_s = machine.age_s + to_s(now - machine.first_seen);
+    const double age_s = machine.age_s + to_seconds(now - machine.first_seen);
     if (age_s > type.boot_s * policy_.boot_limit + boot_margin_s) {
         faulty.slow.push_back(bin.id);
         return false;
     }
-    bin.slots.push_back({std::max(min_boot_left_s, type.boot_s - age_s), type.room});
+    bin.slots.push_back({std::max(min_boot_left_s, type.boot_s - age_s), type.capacity});
     return true;
 }
 
 // Machines that only placements tell of, and that nobody hears: their return is the only proof.
-void Supply::find_silent_placements(Faulty& faulty, Mono now) const {
+void Autoscaler::find_silent_placements(Faulty& faulty, SteadyTime now) const {
     for (const auto& [id, report] : inventory_.reports()) {
         const bool placed_only = report.beat.busy_tasks > 0 && !inventory_.rented().contains(id);
-        if (placed_only && supply::MachineInventory::is_fresh(report, now) && is_lost(report.beat))
+        if (placed_only && autoscaler::MachineInventory::is_fresh(report, now) && is_lost(report.beat))
             faulty.silent.push_back(id);
     }
 }
 
-void Supply::add_rentals_under_way(supply::PlanInput& input) const {
+void Autoscaler::add_rentals_under_way(autoscaler::PlanInput& input) const {
     for (const auto& [kind, count] : provisioner_.renting()) {
-        const wire::MachineType* type = model_.type(kind.type);
+        const wire::MachineType* type = state_cache_.machine_type(kind.type);
         if (type == nullptr) continue;
-        const supply::Bin bin{MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->room}},
-                              false,       {}};
+        const autoscaler::Bin bin{
+            MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->capacity}}, false, {}};
         input.bins.insert(input.bins.end(), count, bin);
     }
 }
 
 // Out of touch beyond its lease: its tasks are lost anyway, but a cut may still end. One that its present
 // owner never heard can't be proven empty but by its return.
-bool Supply::is_lost(const wire::MachineBeat& beat) const {
+bool Autoscaler::is_lost(const wire::MachineStatus& beat) const {
     const double keep_s = beat.address.empty() ? never_heard_keep_s : policy_.silent_keep_s;
     return beat.silent && beat.silent_ms > (settings_.lease_s + keep_s) * 1000;
 }
 
 // A new supplier sees what its predecessor rented only when the list has caught up. Where it became the
 // supplier in the first second of its clock, there was none before it.
-bool Supply::inventory_complete(Mono now) const {
+bool Autoscaler::inventory_complete(SteadyTime now) const {
     const Duration catch_up = seconds(std::min(max_catch_up_s, settings_.list_lag_s + catch_up_margin_s));
-    return now - active_since_ > catch_up || active_since_ - Mono{} < first_second;
+    return now - active_since_ > catch_up || active_since_ - SteadyTime{} < first_second;
 }
 
 // Asks the owners of machines that have long been idle, and aren't wanted by the plan, to empty them.
-void Supply::drain_idle(const std::set<MachineId>& wanted, Mono now) {
+void Autoscaler::drain_idle(const std::set<MachineId>& wanted, SteadyTime now) {
     for (auto& [id, machine] : inventory_.rented()) {
-        const supply::MachineReport* report = inventory_.find_report(id);
+        const autoscaler::MachineReport* report = inventory_.find_report(id);
         if (machine.returning || report == nullptr || wanted.contains(id)) continue;
-        if (now - report->at > supply::fresh_report_age) continue;
-        if (now - machine.drain_asked < drain_retry || !is_idle(report->beat, model_.type(machine.type)))
+        if (now - report->at > autoscaler::fresh_report_age) continue;
+        if (now - machine.drain_asked < drain_retry ||
+            !is_idle(report->beat, state_cache_.machine_type(machine.type)))
             continue;
         machine.drain_asked = now;
-        send_(report->owner, wire::Drain{id});
+        send_(report->owner, wire::DrainRequest{id});
     }
 }
 
-bool Supply::is_idle(const wire::MachineBeat& beat, const wire::MachineType* type) const {
+bool Autoscaler::is_idle(const wire::MachineStatus& beat, const wire::MachineType* type) const {
     if (beat.silent || beat.busy_tasks > 0) return false;
     double keep_s = policy_.idle_keep_s;
     if (type != nullptr) keep_s = std::max(keep_s, type->boot_s * policy_.idle_keep_boots);
     return beat.idle_ms >= keep_s * 1000;
 }
 
-void Supply::return_faulty(Faulty faulty) {
-    provisioner_.give_back(std::move(faulty.silent), supply::ReturnReason::silent);
-    provisioner_.give_back(std::move(faulty.slow), supply::ReturnReason::slow_boot);
-    provisioner_.give_back(std::move(faulty.failed), supply::ReturnReason::failed);
+void Autoscaler::return_faulty(Faulty faulty) {
+    provisioner_.give_back(std::move(faulty.silent), autoscaler::ReturnReason::silent);
+    provisioner_.give_back(std::move(faulty.slow), autoscaler::ReturnReason::slow_boot);
+    provisioner_.give_back(std::move(faulty.failed), autoscaler::ReturnReason::failed);
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/supply/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -1,11 +1,11 @@
-#include "supply/class_reservations.h"
+#include "autoscaler/class_reservations.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "supply/demand.h"
+#include "autoscaler/demand.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr double no_aim_s = 1e9;
 constexpr double short_aim_boots = 1.5;  // an aim below so many boot times needs machines that stand ready
@@ -23,17 +23,17 @@
 constexpr double not_clearable_loss = 1e6;
 }  // namespace
 
-ClassReservations::ClassReservations(const Settings& settings, const Policy& policy, const Model& model,
+ClassReservations::ClassReservations(const Settings& settings, const Policy& policy, const StateCache& model,
                                      Preemptor& preemptor, const ReservationMap& previous, PlanInput& plan)
     : settings_(settings),
       policy_(policy),
-      model_(model),
+      state_cache_(model),
       preemptor_(preemptor),
       previous_(previous),
       plan_(plan) {}
 
 std::optional<Demand> ClassReservations::reserve(const std::string& job_class,
-                                                 const ArrivalStatistics& arrivals, WallMs now,
+                                                 const ArrivalStatistics& arrivals, WallTime now,
                                                  ReservationMap& reserved) {
     const wire::JobSpec& spec = arrivals.latest_spec();
     if (spec.is_service()) return reserve_for_service(arrivals, now, reserved);
@@ -65,7 +65,7 @@
 // free places as are asked for while another machine would boot, and those of a largest job, where the
 // class's images lie: of the machines that run replicas no more than that takes, since the rest of each would
 // stand idle.
-std::optional<Demand> ClassReservations::reserve_for_service(const ArrivalStatistics& arrivals, WallMs now,
+std::optional<Demand> ClassReservations::reserve_for_service(const ArrivalStatistics& arrivals, WallTime now,
                                                              ReservationMap& reserved) {
     const wire::JobSpec& spec = arrivals.latest_spec();
     const wire::MachineType* type = cheapest_type(spec);
@@ -89,7 +89,7 @@
         missing -= std::min(missing, free_places(*rated.bin, spec));
     }
     if (missing == 0) return std::nullopt;
-    const std::size_t per_machine = sched::tasks_that_fit(type->room, spec.need);
+    const std::size_t per_machine = sched::tasks_that_fit(type->capacity, spec.need);
     auto [bins, running] = rate_bins(arrivals, reservation);
     bins.resize(std::min(bins.size(), (missing + per_machine - 1) / per_machine));
     preemptor_.make_room(bins, std::min(waiting, missing), spec, reservation);
@@ -103,7 +103,7 @@
 }
 
 std::size_t ClassReservations::standby_places(const ArrivalStatistics& arrivals,
-                                              const wire::MachineType& type, WallMs now) const {
+                                              const wire::MachineType& type, WallTime now) const {
     if (policy_.reserve <= 0) return 0;
     const wire::JobSpec& spec = arrivals.latest_spec();
     const double boot_s = type.boot_s + spec.image_gb / type.fetch_gb_per_s;
@@ -124,7 +124,7 @@
     const auto image_shares = arrivals.image_shares();
     std::vector<RatedBin> rated;
     for (Bin& bin : plan_.bins) {
-        const wire::MachineType* type = model_.type(bin.type);
+        const wire::MachineType* type = state_cache_.machine_type(bin.type);
         if (!may_reserve(bin, type, spec) || free_places(bin, spec) == 0) continue;
         const double kept_bonus = previous_.contains(bin.id) ? idle_reserved_bonus : 0;
         rated.push_back({-held_image_share(bin.id, *type, image_shares) - kept_bonus, &bin});
@@ -145,8 +145,8 @@
         std::size_t places = 0;
         for (const RatedBin& rated : with_places) {
             if (places >= arrivals.largest()) break;
-            const wire::MachineType* type = model_.type(rated.bin->type);
-            if (!model_.holds_image(rated.bin->id, image, type->cache_gb)) continue;
+            const wire::MachineType* type = state_cache_.machine_type(rated.bin->type);
+            if (!state_cache_.holds_image(rated.bin->id, image, type->cache_gb)) continue;
             holders.insert(rated.bin);
             places += free_places(*rated.bin, spec);
         }
@@ -156,14 +156,14 @@
 
 bool ClassReservations::may_reserve(const Bin& bin, const wire::MachineType* type,
                                     const wire::JobSpec& spec) const {
-    return !bin.id.empty() && !bin.reserved && type != nullptr && type->room.fits(spec.need) &&
-           sched::worth_using(spec, *type, model_.types()) &&
+    return !bin.id.empty() && !bin.reserved && type != nullptr && type->capacity.covers(spec.need) &&
+           sched::should_use_type(spec, *type, state_cache_.machine_types()) &&
            sched::machine_allowed(spec, spec.zone, bin.type, bin.zone, bin.spot);
 }
 
 const wire::MachineType* ClassReservations::cheapest_type(const wire::JobSpec& spec) const {
     const wire::MachineType* cheapest = nullptr;
-    for (const auto& type : model_.types())
+    for (const auto& type : state_cache_.machine_types())
         if (sched::type_allowed(spec, type) && (cheapest == nullptr || type.price < cheapest->price))
             cheapest = &type;
     return cheapest;
@@ -179,7 +179,7 @@
 
 // As many machines as are asked for while another would boot and fetch the image.
 std::size_t ClassReservations::standby(const ArrivalStatistics& arrivals, const wire::MachineType& type,
-                                       WallMs now) const {
+                                       WallTime now) const {
     const double boot_s = type.boot_s + arrivals.latest_spec().image_gb / type.fetch_gb_per_s;
     const double expected = std::ceil(arrivals.machines_per_s(now) * boot_s * policy_.reserve);
     const double least = policy_.reserve > 0 ? 1.0 : 0.0;
@@ -202,7 +202,7 @@
     const auto image_shares = arrivals.image_shares();
     RatedBins rated;
     for (Bin& bin : plan_.bins) {
-        const wire::MachineType* type = model_.type(bin.type);
+        const wire::MachineType* type = state_cache_.machine_type(bin.type);
         if (!may_reserve(bin, type, spec)) continue;
         const bool runs = !spec.is_service() && runs_class(bin.id, reservation.job_class);
         if (runs) ++rated.running;
@@ -219,7 +219,7 @@
     if (runs_class) return runs_class_rating;
     if (preemptor_.is_clearing(bin.id)) return clearing_rating;
     const bool was_reserved = previous_.contains(bin.id);
-    const bool idle = model_.on_machine(bin.id).empty();
+    const bool idle = state_cache_.tasks_on(bin.id).empty();
     // Of the idle ones those first that hold the images which the class asks for most: a gang with room waits
     // for the fetch of its image alone.
     if (idle)
@@ -231,9 +231,9 @@
 }
 
 bool ClassReservations::runs_class(const MachineId& id, const std::string& job_class) const {
-    const auto& tasks = model_.on_machine(id);
+    const auto& tasks = state_cache_.tasks_on(id);
     return std::any_of(tasks.begin(), tasks.end(), [&](const TaskRef& ref) {
-        const Job* job = model_.job(ref.job);
+        const Job* job = state_cache_.job(ref.job);
         return job != nullptr && job->spec.job_class == job_class;
     });
 }
@@ -241,10 +241,10 @@
 double ClassReservations::held_image_share(const MachineId& id, const wire::MachineType& type,
                                            const std::map<std::string, double>& image_shares) const {
     double held = 0;
-    model_.each_image(id, type.cache_gb, [&](const std::string& image) {
+    state_cache_.each_image(id, type.cache_gb, [&](const std::string& image) {
         if (auto share = image_shares.find(image); share != image_shares.end()) held += share->second;
     });
     return held;
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/class_reservations.h
+++ b/src/autoscaler/class_reservations.h
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
+#include "autoscaler/arrivals.h"
+#include "autoscaler/gang_reservations.h"
+#include "autoscaler/plan.h"
+#include "autoscaler/preemption.h"
 #include "base/settings.h"
 #include "policy/policy.h"
 #include "sched/logic.h"
-#include "store/model.h"
-#include "supply/arrivals.h"
-#include "supply/gang_reservations.h"
-#include "supply/plan.h"
-#include "supply/preemption.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// One pass of reserving machines for classes.
 ///
@@ -26,19 +26,19 @@
   public:
     /// `previous` holds the reservations made by the last pass. The bins in `plan` are marked as they are
     /// reserved.
-    ClassReservations(const Settings& settings, const Policy& policy, const Model& model,
+    ClassReservations(const Settings& settings, const Policy& policy, const StateCache& model,
                       Preemptor& preemptor, const ReservationMap& previous, PlanInput& plan);
 
     /// Reserves machines for one class where it needs any, and adds them to `reserved`. Returns the demand
     /// for machines that it will need beyond those.
-    std::optional<Demand> reserve(const std::string& job_class, const ArrivalStatistics& arrivals, WallMs now,
-                                  ReservationMap& reserved);
+    std::optional<Demand> reserve(const std::string& job_class, const ArrivalStatistics& arrivals,
+                                  WallTime now, ReservationMap& reserved);
 
   private:
-    std::optional<Demand> reserve_for_service(const ArrivalStatistics& arrivals, WallMs now,
+    std::optional<Demand> reserve_for_service(const ArrivalStatistics& arrivals, WallTime now,
                                               ReservationMap& reserved);
     std::size_t standby_places(const ArrivalStatistics& arrivals, const wire::MachineType& type,
-                               WallMs now) const;
+                               WallTime now) const;
     static std::size_t free_places(const Bin& bin, const wire::JobSpec& spec);
     std::vector<RatedBin> bins_with_places(const ArrivalStatistics& arrivals);
     std::set<Bin*> image_holders(const std::vector<RatedBin>& with_places,
@@ -51,7 +51,7 @@
 
     const wire::MachineType* cheapest_type(const wire::JobSpec& spec) const;
     double wait_aim_s(const std::string& job_class) const;
-    std::size_t standby(const ArrivalStatistics& arrivals, const wire::MachineType& type, WallMs now) const;
+    std::size_t standby(const ArrivalStatistics& arrivals, const wire::MachineType& type, WallTime now) const;
     std::size_t waiting_tasks(const wire::JobSpec& spec) const;
     RatedBins rate_bins(const ArrivalStatistics& arrivals, const sched::Reservation& reservation);
     double rate(const Bin& bin, const wire::MachineType& type, const wire::JobSpec& spec, bool runs_class,
@@ -63,10 +63,10 @@
 
     const Settings& settings_;
     const Policy& policy_;
-    const Model& model_;
+    const StateCache& state_cache_;
     Preemptor& preemptor_;
     const ReservationMap& previous_;
     PlanInput& plan_;
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -1,4 +1,4 @@
-#include "supply/demand.h"
+#include "autoscaler/demand.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,7 +9,7 @@
 
 #include "sched/placement_constraints.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr double default_patience_s = 60, min_deadline_patience_s = 5;
 constexpr double patience_share_of_slack = 0.3;  // of the time left beside the run itself
@@ -26,7 +26,7 @@
     std::string job_class;
     wire::Rank rank = wire::Rank::standard;
     sched::PlacementConstraints constraints;
-    std::optional<std::string> pinned_zone;
+    std::optional<std::string> assigned_zone;
     int cpu_step = 0, gpu_step = 0, ram_step = 0, patience_step = 0;
     auto operator<=>(const DemandGroup&) const = default;
 };
@@ -58,7 +58,7 @@
     if (other.spec->need.cpu > joined.spec->need.cpu) joined.spec = other.spec;
 }
 
-std::vector<const Job*> waiting_jobs(const Model& model) {
+std::vector<const Job*> waiting_jobs(const StateCache& model) {
     std::vector<const Job*> jobs;
     for (const auto& [id, job] : model.jobs())
         if (!job.cancelled && job.pending() > 0) jobs.push_back(&job);
@@ -71,8 +71,8 @@
 
 // Takes room for a job's pending tasks from what the team's limits leave; returns for how many there was
 // some.
-std::int64_t take_team_room(const Team& team, TeamUse& use, const Job& job) {
-    const Room& need = job.spec.need;
+std::int64_t take_team_room(const Team& team, QuotaUsage& use, const Job& job) {
+    const Resources& need = job.spec.need;
     auto tasks = static_cast<std::int64_t>(job.pending());
     if (team.cpu_max > 0 && need.cpu > 0) tasks = std::min(tasks, (team.cpu_max - use.cpu) / need.cpu);
     if (team.gpu_max > 0 && need.gpu > 0) tasks = std::min(tasks, (team.gpu_max - use.gpu) / need.gpu);
@@ -83,21 +83,21 @@
 }
 }  // namespace
 
-std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const Model& model,
-                                    WallMs now) {
+std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const StateCache& model,
+                                    WallTime now) {
     std::vector<Demand> demands;
-    std::map<TeamName, TeamUse> use_by_team;
+    std::map<TeamName, QuotaUsage> use_by_team;
     for (const Job* job : waiting_jobs(model)) {
-        const Team* team = model.team_settings(job->spec.team);
+        const Team* team = model.team_limits(job->spec.team);
         if (team == nullptr) continue;
         auto [use, fresh] = use_by_team.try_emplace(job->spec.team);
-        if (fresh) use->second = model.team(job->spec.team);
+        if (fresh) use->second = model.quota_usage(job->spec.team);
         const std::int64_t tasks = take_team_room(*team, use->second, *job);
         if (tasks == 0) continue;
-        const double waited_s = static_cast<double>(now.v - job->submitted.v) / 1000.0;
+        const double waited_s = static_cast<double>(now.value() - job->submitted.value()) / 1000.0;
         Demand demand;
         demand.spec = &job->spec;
-        demand.pin = job->pinned_zone;
+        demand.pin = job->assigned_zone;
         demand.tasks = static_cast<TaskIndex>(tasks);
         demand.run_s = std::max(min_run_s, expected_run_s(job->spec));
         demand.patience_s = std::max(0.0, patience(settings, job->spec) * policy.patience - waited_s);
@@ -137,4 +137,4 @@
     return patience_s;
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/demand.h
+++ b/src/autoscaler/demand.h
@@ -2,17 +2,17 @@
 #pragma once
 #include <vector>
 
+#include "autoscaler/plan.h"
 #include "base/settings.h"
 #include "policy/policy.h"
-#include "store/model.h"
-#include "supply/plan.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// What waits for machines at `now`, the most urgent first. Tasks that their team's limit keeps waiting are
 /// left out.
-std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const Model& model,
-                                    WallMs now);
+std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const StateCache& model,
+                                    WallTime now);
 
 /// Of very many demands joins those that are alike in all that counts, so that planning stays quick.
 std::vector<Demand> merge(std::vector<Demand> demands);
@@ -24,4 +24,4 @@
 /// How long a task of this class may wait for its start, by the aims in the settings, in seconds.
 double patience(const Settings& settings, const wire::JobSpec& spec);
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -1,34 +1,34 @@
-#include "supply/gang_reservations.h"
+#include "autoscaler/gang_reservations.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr double gang_patience_s = 8;            // before machines are reserved for a gang
 constexpr std::size_t max_reserved_divisor = 4;  // not more than this part of all machines stands still
 constexpr double kept_rating = -1;               // before all that are rated by time
 
 // When the machine has room for one member.
-double time_with_room(const Bin& bin, const Room& need) {
+double time_with_room(const Bin& bin, const Resources& need) {
     std::vector<Slot> slots = bin.slots;
     std::sort(slots.begin(), slots.end(), [](const Slot& a, const Slot& b) { return a.free_at < b.free_at; });
-    Room room;
+    Resources room;
     double when = 0;
     for (const Slot& slot : slots) {
         room += slot.room;
         when = slot.free_at;
-        if (room.fits(need)) break;
+        if (room.covers(need)) break;
     }
     return when;
 }
 }  // namespace
 
-GangReservations::GangReservations(const Settings& settings, const Model& model, Preemptor& preemptor,
+GangReservations::GangReservations(const Settings& settings, const StateCache& model, Preemptor& preemptor,
                                    const ReservationMap& previous, std::vector<Bin>& bins)
-    : settings_(settings), model_(model), preemptor_(preemptor), previous_(previous), bins_(bins) {}
+    : settings_(settings), state_cache_(model), preemptor_(preemptor), previous_(previous), bins_(bins) {}
 
-ReservationMap GangReservations::reserve(WallMs now) {
+ReservationMap GangReservations::reserve(WallTime now) {
     ReservationMap reserved;
     const std::vector<const Job*> late = late_gangs(now);
     if (late.empty()) return reserved;
@@ -53,12 +53,13 @@
 }
 
 // The most urgent first.
-std::vector<const Job*> GangReservations::late_gangs(WallMs now) const {
+std::vector<const Job*> GangReservations::late_gangs(WallTime now) const {
     std::vector<const Job*> late;
-    for (const auto& [id, job] : model_.jobs()) {
+    for (const auto& [id, job] : state_cache_.jobs()) {
         if (job.spec.shape != wire::Shape::gang || job.cancelled || job.pending() != job.spec.tasks) continue;
-        const bool waited_long = static_cast<double>(now.v - job.submitted.v) > gang_patience_s * 1000;
-        if (waited_long && model_.team_has_room(job.spec.team, job.spec.need, job.spec.tasks))
+        const bool waited_long =
+            static_cast<double>(now.value() - job.submitted.value()) > gang_patience_s * 1000;
+        if (waited_long && state_cache_.fits_team_quota(job.spec.team, job.spec.need, job.spec.tasks))
             late.push_back(&job);
     }
     std::sort(late.begin(), late.end(), [](const Job* a, const Job* b) {
@@ -84,7 +85,7 @@
                                                             const std::optional<std::string>& zone) {
     sched::PlacementConstraints constraints = sched::PlacementConstraints::of(gang.spec);
     constraints.zone = zone;
-    const Room& need = gang.spec.need;
+    const Resources& need = gang.spec.need;
     auto [it, fresh] = by_time_.try_emplace(Shape{need.cpu, need.gpu, need.ram, std::move(constraints)});
     if (fresh) it->second = rate_bins(gang, zone);
     return it->second;
@@ -94,8 +95,8 @@
                                                   const std::optional<std::string>& zone) const {
     std::vector<RatedBin> rated;
     for (Bin& bin : bins_) {
-        const wire::MachineType* type = model_.type(bin.type);
-        if (bin.id.empty() || type == nullptr || !type->room.fits(gang.spec.need)) continue;
+        const wire::MachineType* type = state_cache_.machine_type(bin.type);
+        if (bin.id.empty() || type == nullptr || !type->capacity.covers(gang.spec.need)) continue;
         if (!sched::machine_allowed(gang.spec, zone, bin.type, bin.zone, bin.spot)) continue;
         rated.push_back({time_with_room(bin, gang.spec.need), &bin});
     }
@@ -126,11 +127,11 @@
 // A gang that may go to any zone, all its members to the same, goes to the one that will have room for the
 // last of them first.
 std::vector<RatedBin> GangReservations::select_in_best_zone(const Job& gang) {
-    std::vector<RatedBin> best = select(gang, gang.pinned_zone);
-    if (!gang.spec.one_zone || model_.bound_zone(gang)) return best;
+    std::vector<RatedBin> best = select(gang, gang.assigned_zone);
+    if (!gang.spec.one_zone || state_cache_.required_zone(gang)) return best;
     const std::size_t members = gang.spec.tasks;
     for (const auto& zone : settings_.zones) {
-        if (gang.pinned_zone == zone) continue;
+        if (gang.assigned_zone == zone) continue;
         std::vector<RatedBin> other = select(gang, zone);
         if (other.size() < members) continue;
         if (best.size() < members || other.back().rating < best.back().rating) best = std::move(other);
@@ -138,4 +139,4 @@
     return best;
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/gang_reservations.h
+++ b/src/autoscaler/gang_reservations.h
@@ -7,14 +7,14 @@
 #include <tuple>
 #include <vector>
 
+#include "autoscaler/plan.h"
+#include "autoscaler/preemption.h"
 #include "base/settings.h"
 #include "sched/logic.h"
 #include "sched/placement_constraints.h"
-#include "store/model.h"
-#include "supply/plan.h"
-#include "supply/preemption.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// What each reserved machine is reserved for.
 using ReservationMap = std::map<MachineId, sched::Reservation>;
@@ -27,11 +27,11 @@
 class GangReservations {
   public:
     /// `previous` holds the reservations made by the last pass; `bins` are marked as they are reserved.
-    GangReservations(const Settings& settings, const Model& model, Preemptor& preemptor,
+    GangReservations(const Settings& settings, const StateCache& model, Preemptor& preemptor,
                      const ReservationMap& previous, std::vector<Bin>& bins);
 
     /// Reserves machines for the gangs that have waited too long at `now`, and returns them.
-    ReservationMap reserve(WallMs now);
+    ReservationMap reserve(WallTime now);
 
   private:
     /// Gangs of one shape find room on the same machines, and at the same time.
@@ -41,7 +41,7 @@
         auto operator<=>(const Shape&) const = default;
     };
 
-    std::vector<const Job*> late_gangs(WallMs now) const;
+    std::vector<const Job*> late_gangs(WallTime now) const;
     void find_kept();
     const std::vector<RatedBin>& bins_by_time(const Job& gang, const std::optional<std::string>& zone);
     std::vector<RatedBin> rate_bins(const Job& gang, const std::optional<std::string>& zone) const;
@@ -49,7 +49,7 @@
     std::vector<RatedBin> select_in_best_zone(const Job& gang);
 
     const Settings& settings_;
-    const Model& model_;
+    const StateCache& state_cache_;
     Preemptor& preemptor_;
     const ReservationMap& previous_;
     std::vector<Bin>& bins_;
@@ -57,4 +57,4 @@
     std::map<Shape, std::vector<RatedBin>> by_time_;  // rated by when they have room for one member
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -1,8 +1,8 @@
-#include "supply/inventory.h"
+#include "autoscaler/inventory.h"
 
 #include "base/log.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr Duration report_memory = std::chrono::seconds(60);
 // The cloud's list lags behind; what depends on it waits for several times as long.
@@ -21,16 +21,16 @@
     return it == reports_.end() ? nullptr : &it->second;
 }
 
-bool MachineInventory::is_fresh(const MachineReport& report, Mono now) {
+bool MachineInventory::is_fresh(const MachineReport& report, SteadyTime now) {
     return now - report.at < fresh_report_age;
 }
 
-const MachineReport* MachineInventory::fresh_report(const MachineId& id, Mono now) const {
+const MachineReport* MachineInventory::fresh_report(const MachineId& id, SteadyTime now) const {
     const MachineReport* report = find_report(id);
     return report != nullptr && is_fresh(*report, now) ? report : nullptr;
 }
 
-void MachineInventory::record_report(const NodeName& owner, const wire::MachineBeat& beat, Mono now) {
+void MachineInventory::record_report(const NodeName& owner, const wire::MachineStatus& beat, SteadyTime now) {
     reports_[beat.id] = {beat, owner, now};
     // A machine that reports is there, whatever the lagging list says: unexpected ones are used or returned.
     if (beat.silent || beat.address.empty()) return;
@@ -38,7 +38,7 @@
     RentedMachine& machine = it->second;
     if (fresh) {
         machine.first_seen = now;
-        log::info("event=machine_adopted machine={} type={}", beat.id.v, beat.type);
+        log::info("event=machine_adopted machine={} type={}", beat.id.value(), beat.type);
     }
     machine.type = beat.type;
     machine.zone = beat.zone;
@@ -48,7 +48,7 @@
     machine.last_listed = now;
 }
 
-void MachineInventory::record_listed(const wire::ListedMachine& listed, Mono now) {
+void MachineInventory::record_listed(const wire::ListedMachine& listed, SteadyTime now) {
     if (returned_.contains(listed.id)) return;
     auto [it, fresh] = rented_.try_emplace(listed.id);
     RentedMachine& machine = it->second;
@@ -65,7 +65,7 @@
     if (!machine.ever_up || listed.phase == wire::MachinePhase::failed) machine.phase = listed.phase;
 }
 
-void MachineInventory::record_rented(const MachineId& id, const MachineKind& kind, Mono now) {
+void MachineInventory::record_rented(const MachineId& id, const MachineKind& kind, SteadyTime now) {
     auto [it, fresh] = rented_.try_emplace(id);
     if (!fresh) return;
     RentedMachine& machine = it->second;
@@ -75,14 +75,14 @@
     machine.first_seen = machine.last_listed = now;
 }
 
-void MachineInventory::record_returned(const MachineId& id, Mono now) {
+void MachineInventory::record_returned(const MachineId& id, SteadyTime now) {
     rented_.erase(id);
     reports_.erase(id);
     returned_[id] = now;
 }
 
 // Not listed long after it was: gone. The list proves nothing about its tasks, only what we may count on.
-void MachineInventory::forget_unlisted(const std::set<MachineId>& listed, Mono now) {
+void MachineInventory::forget_unlisted(const std::set<MachineId>& listed, SteadyTime now) {
     const Duration wait = seconds(settings_.list_lag_s * list_lags_waited + unlisted_margin_s);
     std::erase_if(rented_, [&](const auto& entry) {
         const auto& [id, machine] = entry;
@@ -90,14 +90,14 @@
     });
 }
 
-void MachineInventory::expire(Mono now) {
+void MachineInventory::expire(SteadyTime now) {
     const Duration wait = seconds(settings_.list_lag_s * list_lags_waited + returned_margin_s);
     std::erase_if(returned_, [&](const auto& entry) { return now - entry.second > wait; });
     std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at > report_memory; });
 }
 
-std::vector<wire::SightedMachine> MachineInventory::unheard(Mono now) const {
-    std::vector<wire::SightedMachine> machines;
+std::vector<wire::DiscoveredMachine> MachineInventory::unheard(SteadyTime now) const {
+    std::vector<wire::DiscoveredMachine> machines;
     for (const auto& [id, machine] : rented_) {
         if (machine.phase != wire::MachinePhase::running || machine.address.empty() || machine.returning)
             continue;
@@ -108,4 +108,4 @@
     return machines;
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/peer_messages.h
+++ b/src/autoscaler/peer_messages.h
@@ -4,9 +4,9 @@
 #include <functional>
 
 #include "base/types.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// Sends a message to another controller, or to this one.
 using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
@@ -14,4 +14,4 @@
 /// Lists of machines are split into messages of so many, well below the largest frame.
 constexpr std::size_t max_machines_per_message = 1000;
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -1,4 +1,4 @@
-#include "supply/plan.h"
+#include "autoscaler/plan.h"
 
 #include <algorithm>
 #include <deque>
@@ -10,7 +10,7 @@
 
 #include "sched/logic.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr std::size_t max_considered = 50'000;  // tasks: a plan must not stall the loop
 constexpr double boot_margin_s = 0.1;           // what is rented now is counted on this long after its boot
@@ -31,7 +31,7 @@
         const Bin& bin = bins_[b];
         const wire::MachineType* type = usable_type(bin);
         if (type == nullptr) return;
-        if (bin.reserved && !sched::may_use(*demand_.spec, *bin.reserved)) return;
+        if (bin.reserved && !sched::may_use_reserved(*demand_.spec, *bin.reserved)) return;
         for (std::size_t i = 0; i < bin.slots.size(); ++i) add(bin.slots[i], b, i, type);
     }
     // Puts one task into the slot that is free first, if that is early enough.
@@ -39,7 +39,7 @@
         while (!heap_.empty()) {
             const Entry e = heap_.top();
             Slot& slot = bins_[e.bin].slots[e.slot];
-            if (!slot.room.fits(demand_.spec->need)) {
+            if (!slot.room.covers(demand_.spec->need)) {
                 heap_.pop();
                 continue;
             }
@@ -65,7 +65,7 @@
         }
     };
     void add(const Slot& s, std::size_t bin, std::size_t slot, const wire::MachineType* type) {
-        if (s.room.fits(demand_.spec->need)) heap_.push({s.free_at, bin, slot, type});
+        if (s.room.covers(demand_.spec->need)) heap_.push({s.free_at, bin, slot, type});
     }
     // Machines come in few kinds: each is judged once.
     const wire::MachineType* usable_type(const Bin& b) {
@@ -74,7 +74,7 @@
         const wire::MachineType* found = nullptr;
         auto t = std::find_if(types_.begin(), types_.end(), [&](const auto& o) { return o.name == b.type; });
         if (t != types_.end() && sched::machine_allowed(*demand_.spec, demand_.pin, b.type, b.zone, b.spot) &&
-            sched::worth_using(*demand_.spec, *t, types_))
+            sched::should_use_type(*demand_.spec, *t, types_))
             found = &*t;
         seen_.push_back({b.type, b.zone, b.spot});
         kinds_.emplace_back(&seen_.back(), found);
@@ -156,7 +156,7 @@
     ++plan_.rent[kind];
     ++rented_;
     input_.bins.push_back(
-        {MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->room}}, true, {}});
+        {MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->capacity}}, true, {}});
     openings.add_bin(input_.bins.size() - 1);
     // Nothing is there sooner than a boot takes: what is rented for this task serves it however patient it
     // is.
@@ -169,7 +169,7 @@
     double least = std::numeric_limits<double>::max();
     for (const auto& type : *input_.types) {
         if (!sched::type_allowed(*demand.spec, type)) continue;
-        if (!sched::worth_using(*demand.spec, type, *input_.types)) continue;
+        if (!sched::should_use_type(*demand.spec, type, *input_.types)) continue;
         const Service served = service(demand, type, left);
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
@@ -190,9 +190,10 @@
 Planner::Service Planner::service(const Demand& demand, const wire::MachineType& type, TaskIndex left) {
     const auto tasks = static_cast<std::int64_t>(left);
     auto fitting = [&](std::int64_t has, std::int64_t need) { return need > 0 ? has / need : tasks; };
-    const Room& need = demand.spec->need;
-    const std::int64_t at_once = std::min({fitting(type.room.cpu, need.cpu), fitting(type.room.gpu, need.gpu),
-                                           fitting(type.room.ram, need.ram)});
+    const Resources& need = demand.spec->need;
+    const std::int64_t at_once =
+        std::min({fitting(type.capacity.cpu, need.cpu), fitting(type.capacity.gpu, need.gpu),
+                  fitting(type.capacity.ram, need.ram)});
     const double turns = std::max(1.0, 1 + (demand.patience_s - type.boot_s) / std::max(1.0, demand.run_s));
     const double taken = std::min(static_cast<double>(tasks), static_cast<double>(at_once) * turns);
     const double run_s = demand.run_s * std::max(1.0, taken / static_cast<double>(at_once));
@@ -202,4 +203,4 @@
 
 Plan make_plan(PlanInput input) { return Planner(input).make(); }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/plan.h
+++ b/src/autoscaler/plan.h
@@ -13,12 +13,12 @@
 #include "sched/logic.h"
 #include "wire/json_api.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// Room of a machine that comes free at a moment, counted in seconds from now.
 struct Slot {
     double free_at = 0;
-    Room room;
+    Resources room;
 };
 
 /// A machine, rented or planned, as a bin to pack tasks into.
@@ -63,4 +63,4 @@
 /// Packs the demands into the bins, and rents machines for what finds no room there in time.
 Plan make_plan(PlanInput input);
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/preemption.h
+++ b/src/autoscaler/preemption.h
@@ -6,15 +6,15 @@
 #include <utility>
 #include <vector>
 
+#include "autoscaler/inventory.h"
+#include "autoscaler/peer_messages.h"
+#include "autoscaler/plan.h"
 #include "base/env.h"
 #include "policy/policy.h"
 #include "sched/logic.h"
-#include "store/model.h"
-#include "supply/inventory.h"
-#include "supply/peer_messages.h"
-#include "supply/plan.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// A machine to reserve, with its place in the order of choice: the lowest rating first.
 struct RatedBin {
@@ -25,7 +25,7 @@
 /// Chooses which tasks to stop, and asks their owners to.
 class Preemptor {
   public:
-    Preemptor(Env& env, const Policy& policy, const Model& model, const MachineInventory& inventory,
+    Preemptor(Env& env, const Policy& policy, const StateCache& model, const MachineInventory& inventory,
               SendPeer send);
 
     /// Forgets since when tasks are placed: this node isn't the supplier.
@@ -50,12 +50,12 @@
 
     Env& env_;
     const Policy& policy_;
-    const Model& model_;
+    const StateCache& state_cache_;
     const MachineInventory& inventory_;
     SendPeer send_;
     bool tracking_ = false;
-    std::map<std::pair<TaskRef, Attempt>, Mono> placed_since_;  // as this supplier saw it
-    std::map<MachineId, Mono> clearing_;                        // when it was asked
+    std::map<std::pair<TaskRef, Attempt>, SteadyTime> placed_since_;  // as this supplier saw it
+    std::map<MachineId, SteadyTime> clearing_;                        // when it was asked
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -1,4 +1,4 @@
-#include "supply/provisioner.h"
+#include "autoscaler/provisioner.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 namespace {
 constexpr std::size_t max_returned_per_call = 100;  // by the cloud's protocol
 constexpr std::uint32_t max_rented_per_call = 50;   // likewise
@@ -30,8 +30,9 @@
 }
 }  // namespace
 
-Provisioner::Provisioner(Env& env, const Settings& settings, const Policy& policy, const Cluster& cluster,
-                         CloudClient& cloud, MachineInventory& inventory, SendPeer send)
+Provisioner::Provisioner(Env& env, const Settings& settings, const Policy& policy,
+                         const ClusterCoordinator& cluster, CloudClient& cloud, MachineInventory& inventory,
+                         SendPeer send)
     : env_(env),
       settings_(settings),
       policy_(policy),
@@ -40,7 +41,7 @@
       inventory_(inventory),
       send_(std::move(send)) {}
 
-std::set<MachineKind> Provisioner::refused(Mono now) const {
+std::set<MachineKind> Provisioner::refused(SteadyTime now) const {
     std::set<MachineKind> kinds;
     for (const auto& [kind, until] : refused_until_)
         if (until > now) kinds.insert(kind);
@@ -62,8 +63,8 @@
 
 void Provisioner::request(const MachineKind& kind, std::uint32_t count) {
     // Unique for ever: no two processes share an incarnation, and none counts backwards.
-    const std::string name = settings_.node.v + "." + std::to_string(cluster_.incarnation().v) + "." +
-                             std::to_string(++last_request_);
+    const std::string name = settings_.node.value() + "." + std::to_string(cluster_.incarnation().value()) +
+                             "." + std::to_string(++last_request_);
     renting_[kind] += count;
     log::info("event=rent request={} type={} zone={} spot={} count={}", name, kind.type, kind.zone, kind.spot,
               count);
@@ -77,7 +78,7 @@
 
 void Provisioner::on_rented(const MachineKind& kind, std::uint32_t count, CloudClient::Rent outcome,
                             const std::vector<MachineId>& machines) {
-    const Mono now = env_.now();
+    const SteadyTime now = env_.now();
     if (auto it = renting_.find(kind); it != renting_.end()) {
         it->second -= std::min(it->second, count);
         if (it->second == 0) renting_.erase(it);
@@ -102,7 +103,7 @@
     if (machines.size() > max_returned_per_call) machines.resize(max_returned_per_call);
     for (const auto& id : machines) {
         if (RentedMachine* machine = inventory_.find_rented(id)) machine->returning = true;
-        log::info("event=return machine={} reason={}", id.v, name_of(reason));
+        log::info("event=return machine={} reason={}", id.value(), name_of(reason));
     }
     cloud_.give_back(machines, [this, machines](bool confirmed) { on_give_back(machines, confirmed); });
 }
@@ -114,7 +115,8 @@
         return;
     }
     // The cloud's word that they are gone is proof for every owner.
-    for (const auto& node : settings_.all_nodes()) send_(node, wire::Gone{machines});
+    for (const auto& node : settings_.all_nodes())
+        send_(node, wire::MachinesTerminatedNotification{machines});
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/provisioner.h
+++ b/src/autoscaler/provisioner.h
@@ -5,17 +5,17 @@
 #include <set>
 #include <vector>
 
+#include "autoscaler/inventory.h"
+#include "autoscaler/peer_messages.h"
+#include "autoscaler/plan.h"
 #include "base/env.h"
 #include "base/settings.h"
 #include "cloud/cloud.h"
-#include "cluster/cluster.h"
+#include "cluster/cluster_coordinator.h"
 #include "policy/policy.h"
-#include "store/model.h"
-#include "supply/inventory.h"
-#include "supply/peer_messages.h"
-#include "supply/plan.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// Why a machine is returned.
 enum class ReturnReason : std::uint8_t { idle, silent, slow_boot, failed };
@@ -23,7 +23,7 @@
 /// Makes the calls that rent and return machines, and keeps account of those under way.
 class Provisioner {
   public:
-    Provisioner(Env& env, const Settings& settings, const Policy& policy, const Cluster& cluster,
+    Provisioner(Env& env, const Settings& settings, const Policy& policy, const ClusterCoordinator& cluster,
                 CloudClient& cloud, MachineInventory& inventory, SendPeer send);
 
     /// Forgets the rentals under way: this node has just become the supplier.
@@ -31,7 +31,7 @@
     /// Machines asked for, by kind, while the cloud has not answered.
     const std::map<MachineKind, std::uint32_t>& renting() const { return renting_; }
     /// Kinds that the cloud refused a short while ago.
-    std::set<MachineKind> refused(Mono now) const;
+    std::set<MachineKind> refused(SteadyTime now) const;
     /// The number of machines to plan for at a time.
     std::size_t max_planned() const;
 
@@ -50,13 +50,13 @@
     Env& env_;
     const Settings& settings_;
     const Policy& policy_;
-    const Cluster& cluster_;
+    const ClusterCoordinator& cluster_;
     CloudClient& cloud_;
     MachineInventory& inventory_;
     SendPeer send_;
-    std::map<MachineKind, Mono> refused_until_;
+    std::map<MachineKind, SteadyTime> refused_until_;
     std::map<MachineKind, std::uint32_t> renting_;
     std::uint64_t last_request_ = 0;
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -1,30 +1,30 @@
-#include "supply/reservations.h"
+#include "autoscaler/reservations.h"
 
 #include <utility>
 #include <vector>
 
-#include "supply/class_reservations.h"
+#include "autoscaler/class_reservations.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 ReservationPlanner::ReservationPlanner(Env& env, const Settings& settings, const Policy& policy,
-                                       const Model& model, const MachineInventory& inventory,
+                                       const StateCache& model, const MachineInventory& inventory,
                                        const SendPeer& send)
     : env_(env),
       settings_(settings),
       policy_(policy),
-      model_(model),
+      state_cache_(model),
       send_(send),
       preemptor_(env, policy, model, inventory, send) {}
 
 void ReservationPlanner::update(PlanInput& plan) {
-    const WallMs now = env_.wall();
+    const WallTime now = env_.wall();
     preemptor_.track_placements();
     record_arrivals();
     preemptor_.expire();
     ReservationMap reserved =
-        GangReservations(settings_, model_, preemptor_, reserved_, plan.bins).reserve(now);
-    ClassReservations classes(settings_, policy_, model_, preemptor_, reserved_, plan);
+        GangReservations(settings_, state_cache_, preemptor_, reserved_, plan.bins).reserve(now);
+    ClassReservations classes(settings_, policy_, state_cache_, preemptor_, reserved_, plan);
     std::vector<Demand> standby;
     for (auto& [kind, arrivals] : arrivals_) {
         arrivals.expire(now);
@@ -37,7 +37,7 @@
 }
 
 void ReservationPlanner::record_arrivals() {
-    for (const auto& [id, job] : model_.jobs())
+    for (const auto& [id, job] : state_cache_.jobs())
         if (!job.cancelled) arrivals_[{job.spec.job_class, job.spec.is_service()}].record(job);
 }
 
@@ -45,20 +45,20 @@
     std::map<NodeName, std::vector<wire::ReservedMachine>> by_owner;
     for (const auto& node : settings_.all_nodes()) by_owner[node];
     for (const auto& [id, reservation] : reserved_) {
-        auto owner = by_owner.find(model_.parts()[model_.part_of(id)].owner);
+        auto owner = by_owner.find(state_cache_.shards()[state_cache_.shard_of(id)].leader);
         if (owner == by_owner.end()) continue;
         owner->second.push_back({id, reservation.job_class, reservation.rank,
                                  static_cast<std::uint32_t>(reservation.save_s * 1000), reservation.job});
     }
     for (auto& [node, machines] : by_owner) {
-        wire::Reserve message;
+        wire::ReservationUpdate message;
         for (auto& machine : machines) {
             message.machines.push_back(std::move(machine));
             if (message.machines.size() < max_machines_per_message) continue;
-            send_(node, std::exchange(message, wire::Reserve{false, {}}));
+            send_(node, std::exchange(message, wire::ReservationUpdate{false, {}}));
         }
-        if (message.first || !message.machines.empty()) send_(node, std::move(message));
+        if (message.is_first || !message.machines.empty()) send_(node, std::move(message));
     }
 }
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/supply/reservations.h
+++ b/src/autoscaler/reservations.h
@@ -3,23 +3,23 @@
 #include <map>
 #include <string>
 
+#include "autoscaler/arrivals.h"
+#include "autoscaler/gang_reservations.h"
+#include "autoscaler/inventory.h"
+#include "autoscaler/peer_messages.h"
+#include "autoscaler/plan.h"
+#include "autoscaler/preemption.h"
 #include "base/env.h"
 #include "base/settings.h"
 #include "policy/policy.h"
-#include "store/model.h"
-#include "supply/arrivals.h"
-#include "supply/gang_reservations.h"
-#include "supply/inventory.h"
-#include "supply/peer_messages.h"
-#include "supply/plan.h"
-#include "supply/preemption.h"
+#include "store/state_cache.h"
 
-namespace zd::supply {
+namespace zincdyke::autoscaler {
 
 /// Chooses anew at each plan which machines are reserved, and tells their owners.
 class ReservationPlanner {
   public:
-    ReservationPlanner(Env& env, const Settings& settings, const Policy& policy, const Model& model,
+    ReservationPlanner(Env& env, const Settings& settings, const Policy& policy, const StateCache& model,
                        const MachineInventory& inventory, const SendPeer& send);
 
     /// This node isn't the supplier.
@@ -35,7 +35,7 @@
     Env& env_;
     const Settings& settings_;
     const Policy& policy_;
-    const Model& model_;
+    const StateCache& state_cache_;
     SendPeer send_;
     Preemptor preemptor_;
     // What is kept for replicas of services is apart from what is kept for other work of their class.
@@ -48,4 +48,4 @@
     ReservationMap reserved_;
 };
 
-}  // namespace zd::supply
+}  // namespace zincdyke::autoscaler
--- a/src/base/env.h
+++ b/src/base/env.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 struct HttpRequest {
     std::string method, path, body;
@@ -23,8 +23,8 @@
   public:
     using TimerId = std::uint64_t;
     virtual ~Env() = default;
-    virtual Mono now() = 0;
-    virtual WallMs wall() = 0;
+    virtual SteadyTime now() = 0;
+    virtual WallTime wall() = 0;
     virtual TimerId after(Duration d, std::function<void()> fn) = 0;
     virtual void cancel(TimerId id) = 0;
     // Exactly one call of `done`, always from the loop and never from within this call.
@@ -34,4 +34,4 @@
     virtual std::mt19937_64& rng() = 0;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdlib>
 
-namespace zd::log {
+namespace zincdyke::log {
 void setup(const std::string& node) {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
     auto logger = std::make_shared<spdlog::logger>(node, sink);
@@ -14,4 +14,4 @@
     logger->flush_on(spdlog::level::debug);
     spdlog::set_default_logger(std::move(logger));
 }
-}  // namespace zd::log
+}  // namespace zincdyke::log
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <spdlog/spdlog.h>
 
-namespace zd::log {
+namespace zincdyke::log {
 using spdlog::debug;
 using spdlog::error;
 using spdlog::info;
 using spdlog::warn;
 void setup(const std::string& node);
-}  // namespace zd::log
+}  // namespace zincdyke::log
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace zd {
+namespace zincdyke {
 namespace {
 // A job's end takes two changes in one transaction: its record goes and its final state comes.
 constexpr double least_txn_ops = 2;
@@ -206,4 +206,4 @@
     return parse_settings(text.str());
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -69,4 +69,4 @@
 Settings load_settings(const std::string& path);
 Settings parse_settings(const std::string& text);
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -2,7 +2,7 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr std::size_t most_queued = 64;
 constexpr Duration call_limit = std::chrono::seconds(4);
@@ -73,4 +73,4 @@
            [done = std::move(done)](const HttpResponse& h) { done(h.status == 200); });
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -8,10 +8,10 @@
 
 #include "base/env.h"
 #include "base/settings.h"
-#include "store/store.h"
+#include "store/store_client.h"
 #include "wire/json_api.h"
 
-namespace zd {
+namespace zincdyke {
 
 class CloudClient {
   public:
@@ -34,4 +34,4 @@
     Env::TimerId timer_ = 0;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "cluster/cluster.h"
+#include "cluster/cluster_coordinator.h"
 
 #include <xxhash.h>
 
@@ -7,33 +7,34 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration read_limit = std::chrono::milliseconds(1700);  // users wait for 2 s
 constexpr std::size_t most_reads = 2000;
 }  // namespace
 
-Cluster::Cluster(Env& env, const Settings& settings, StoreClient& store, Model& model)
+ClusterCoordinator::ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store,
+                                       StateCache& model)
     : env_(env),
       settings_(settings),
       store_(store),
-      model_(model),
+      state_cache_(model),
       all_(settings.all_nodes()),
       // Lease and takeover fit inside a worker's lease, so that running tasks outlive their controller.
       life_(std::clamp(seconds(settings.lease_s * 0.4), millis(1500), seconds(10))) {
-    model_.on_cluster = [this] { changed(); };
+    state_cache_.on_membership_changed = [this] { changed(); };
 }
 
-void Cluster::start() {
+void ClusterCoordinator::start() {
     acquire_session();
     load("", {}, env_.now());
     review();
     watch_presence();
 }
 
-void Cluster::watch_presence() {
+void ClusterCoordinator::watch_presence() {
     env_.after(millis(50), [this] { watch_presence(); });
-    const bool stood_still = awake_ != Mono{} && env_.now() - awake_ >= stall_limit;
+    const bool stood_still = awake_ != SteadyTime{} && env_.now() - awake_ >= stall_limit;
     awake_ = env_.now();
     if (stood_still) log::warn("event=stood_still");
     while (!reads_.empty() && env_.now() - reads_.front().asked > read_limit) {
@@ -41,7 +42,7 @@
         reads_.pop_front();
         done(false);
     }
-    if (!synced_ || loading_) return;
+    if (!is_synced_ || loading_) return;
     if (!store_.reachable() || stood_still) {
         stale_ = true;
         watch_now_ = false;
@@ -52,11 +53,11 @@
     }
 }
 
-NodeName Cluster::pick(const std::string& key, const std::vector<NodeName>& among) {
+NodeName ClusterCoordinator::pick_by_hash(const std::string& key, const std::vector<NodeName>& among) {
     NodeName best;
     std::uint64_t top = 0;
     for (const auto& n : among) {
-        std::string s = key + "\n" + n.v;
+        std::string s = key + "\n" + n.value();
         std::uint64_t h = XXH64(s.data(), s.size(), 1);
         if (best.empty() || h > top) {
             best = n;
@@ -66,54 +67,56 @@
     return best;
 }
 
-std::vector<NodeName> Cluster::live() const {
+std::vector<NodeName> ClusterCoordinator::live_nodes() const {
     std::vector<NodeName> out;
-    for (const auto& [n, v] : model_.nodes()) out.push_back(n);
+    for (const auto& [n, v] : state_cache_.live_nodes()) out.push_back(n);
     return out;
 }
 
-std::optional<Term> Cluster::term(std::uint32_t part) const {
+std::optional<Term> ClusterCoordinator::term(std::uint32_t part) const {
     auto it = claims_.find(part);
-    if (it == claims_.end() || part >= model_.parts().size()) return std::nullopt;
-    const Part& p = model_.parts()[part];
+    if (it == claims_.end() || part >= state_cache_.shards().size()) return std::nullopt;
+    const Shard& p = state_cache_.shards()[part];
     // Claims count once the model holds them: everything an earlier owner committed is then known too.
-    if (p.owner != settings_.node || p.term != it->second) return std::nullopt;
+    if (p.leader != settings_.node || p.term != it->second) return std::nullopt;
     return it->second;
 }
 
-std::optional<NodeName> Cluster::owner_of(const MachineId& m) const {
-    const Part& p = model_.parts()[model_.part_of(m)];
-    if (p.owner.empty() || p.owner == settings_.node) return std::nullopt;
-    if (!is_live(p.owner)) return std::nullopt;
-    return p.owner;
+std::optional<NodeName> ClusterCoordinator::leader_of(const MachineId& m) const {
+    const Shard& p = state_cache_.shards()[state_cache_.shard_of(m)];
+    if (p.leader.empty() || p.leader == settings_.node) return std::nullopt;
+    if (!is_live(p.leader)) return std::nullopt;
+    return p.leader;
 }
 
-bool Cluster::is_supplier() const { return in_touch() && registered_ && model_.supplier() == settings_.node; }
+bool ClusterCoordinator::is_autoscaler_leader() const {
+    return is_up_to_date() && registered_ && state_cache_.autoscaler_leader() == settings_.node;
+}
 
-NodeName Cluster::relay_of(const Job& j) const {
+NodeName ClusterCoordinator::relay_of(const Job& j) const {
     if (is_live(j.relay)) return j.relay;
-    auto among = live();
-    return among.empty() ? j.relay : pick(j.spec.id.v, among);
+    auto among = live_nodes();
+    return among.empty() ? j.relay : pick_by_hash(j.spec.id.value(), among);
 }
 
-NodeName Cluster::home_of(const Job& j) const {
-    const Team* t = model_.team_settings(j.spec.team);
+NodeName ClusterCoordinator::committer_of(const Job& j) const {
+    const Team* t = state_cache_.team_limits(j.spec.team);
     if (t == nullptr || !t->limited()) return relay_of(j);
     // Dealt out in turn: by hash one of five homes had six of sixteen teams, and more to write than its part
     // of the budget.
     const auto turn =
         static_cast<std::size_t>(std::distance(settings_.teams.begin(), settings_.teams.find(j.spec.team)));
     if (const NodeName& first = all_[turn % all_.size()]; is_live(first)) return first;
-    auto among = live();
-    return among.empty() ? settings_.node : pick(keys::team(j.spec.team), among);
+    auto among = live_nodes();
+    return among.empty() ? settings_.node : pick_by_hash(keys::team_lock(j.spec.team), among);
 }
 
 // Half of the write budget is split evenly, the rest by demand: with a fixed split one node's jobs waited for
 // writes while half of the budget was never used. Peers not heard from count as average ones.
-void Cluster::share_writes(double mine, const std::map<NodeName, double>& heard) {
+void ClusterCoordinator::update_write_share(double mine, const std::map<NodeName, double>& heard) {
     double sum = mine;
     std::size_t n = 1, silent = 0;
-    for (const auto& [node, v] : model_.nodes()) {
+    for (const auto& [node, v] : state_cache_.live_nodes()) {
         if (node == settings_.node) continue;
         ++n;
         if (auto h = heard.find(node); h != heard.end())
@@ -124,17 +127,17 @@
     sum += sum / static_cast<double>(n - silent) * static_cast<double>(silent);
     const double even = 1.0 / static_cast<double>(n);
     write_share_ = sum > 0 ? 0.5 * even + 0.5 * mine / sum : even;
-    store_.set_share(even, write_share_);
+    store_.set_budget_share(even, write_share_);
 }
 
-void Cluster::acquire_session() {
+void ClusterCoordinator::acquire_session() {
     if (std::exchange(acquiring_, true)) return;
     registered_ = false;
     request_grant();
 }
 
-void Cluster::request_grant() {
-    store_.grant(life_, [this](Outcome o, std::uint64_t id) {
+void ClusterCoordinator::request_grant() {
+    store_.grant_lease(life_, [this](Outcome o, std::uint64_t id) {
         if (o != Outcome::ok) {
             env_.after(millis(250), [this] { request_grant(); });
             return;
@@ -146,18 +149,18 @@
     });
 }
 
-void Cluster::register_node() {
+void ClusterCoordinator::register_node() {
     if (std::exchange(registering_, true)) return;
-    Txn txn;
+    Transaction txn;
     txn.writes.push_back({keys::node(settings_.node), Json::object(), grant_});
-    store_.commit(txn, Urgency::lease, [this, grant = grant_](CommitResult r) {
+    store_.commit(txn, RequestPriority::lease, [this, grant = grant_](CommitResult r) {
         registering_ = false;
         if (grant != grant_) return register_node();  // a new session began meanwhile
         if (r.outcome == Outcome::ok) {
             registered_ = true;
             if (incarnation_ == Revision{}) incarnation_ = r.revision;
-            log::info("event=session_open grant={} revision={}", grant_, r.revision.v);
-            model_.apply({keys::node(settings_.node), Json::object(), r.revision});
+            log::info("event=session_open grant={} revision={}", grant_, r.revision.value());
+            state_cache_.apply({keys::node(settings_.node), Json::object(), r.revision});
         } else if (r.outcome == Outcome::invalid) {
             acquire_session();  // the grant ended meanwhile
         } else {
@@ -166,9 +169,9 @@
     });
 }
 
-void Cluster::renew() {
+void ClusterCoordinator::renew() {
     const auto grant = grant_;
-    store_.touch(grant, [this, grant](Outcome o) {
+    store_.renew_lease(grant, [this, grant](Outcome o) {
         if ((o == Outcome::not_found || o == Outcome::invalid) && grant == grant_ && !acquiring_) {
             log::warn("event=session_lost grant={}", grant_);
             stale_ = true;
@@ -179,7 +182,7 @@
     });
 }
 
-void Cluster::load(const std::string& after, Revision from, Mono begun) {
+void ClusterCoordinator::load(const std::string& after, Revision from, SteadyTime begun) {
     loading_ = true;
     store_.list("z/", after, [this, from, begun](ListResult r) {
         if (r.outcome != Outcome::ok) {
@@ -190,29 +193,29 @@
         // Pages of a list are of different moments; the watch goes on from the first one's.
         Revision start = from == Revision{} ? r.revision : from;
         for (auto& i : r.items) pending_.push_back(std::move(i));
-        if (r.more && !pending_.empty()) return load(pending_.back().key, start, begun);
+        if (r.has_more && !pending_.empty()) return load(pending_.back().key, start, begun);
         // What this process already read under a newer revision stays; keys deleted meanwhile must not
         // linger.
-        model_.clear();
-        for (const auto& i : pending_) model_.apply(i);
+        state_cache_.clear();
+        for (const auto& i : pending_) state_cache_.apply(i);
         pending_.clear();
         pending_.shrink_to_fit();
-        model_.seen = start;
+        state_cache_.applied_revision = start;
         loading_ = false;
-        const bool first = !synced_;
-        synced_ = true;
-        log::info("event=state_read revision={} jobs={}", start.v, model_.jobs().size());
+        const bool first = !is_synced_;
+        is_synced_ = true;
+        log::info("event=state_read revision={} jobs={}", start.value(), state_cache_.jobs().size());
         ++watch_run_;
         stale_ = watch_now_ = false;
-        if (on_read) on_read(begun);
+        if (on_state_read) on_state_read(begun);
         watch();
         changed();
-        if (first && on_synced) on_synced();
+        if (first && on_first_sync) on_first_sync();
     });
 }
 
-void Cluster::reload() {
-    log::warn("event=state_read_anew revision={}", model_.seen.v);
+void ClusterCoordinator::reload() {
+    log::warn("event=state_read_anew revision={}", state_cache_.applied_revision.value());
     watch_fails_ = 0;
     stale_ = true;
     load("", {}, env_.now());
@@ -220,29 +223,29 @@
 
 // A pause gathers changes into one answer. It keeps the watches of all nodes together to a quarter of the
 // request budget: at a fixed 30 ms those of seven nodes took most of it.
-Duration Cluster::watch_pause() const {
-    const double pause =
-        static_cast<double>(std::max<std::size_t>(1, model_.nodes().size())) / (settings_.state_rps * 0.25);
+Duration ClusterCoordinator::watch_pause() const {
+    const double pause = static_cast<double>(std::max<std::size_t>(1, state_cache_.live_nodes().size())) /
+                         (settings_.state_rps * 0.25);
     return std::clamp(seconds(pause), millis(30), millis(500));
 }
 
 // What a watch sent at `sent` answered: the model is complete up to that moment.
-void Cluster::take_news(const ListResult& news, Mono sent) {
-    for (const auto& item : news.items) model_.apply(item);
-    model_.seen = std::max(model_.seen, news.revision);
-    if (on_read) on_read(sent);
+void ClusterCoordinator::take_news(const ListResult& news, SteadyTime sent) {
+    for (const auto& item : news.items) state_cache_.apply(item);
+    state_cache_.applied_revision = std::max(state_cache_.applied_revision, news.revision);
+    if (on_state_read) on_state_read(sent);
 }
 
-void Cluster::watch() {
+void ClusterCoordinator::watch() {
     const bool asked_for = !reads_.empty();
     watch_open_ = true;
     store_.watch(
-        "z/", model_.seen, stale_ || asked_for,
+        "z/", state_cache_.applied_revision, stale_ || asked_for,
         [this, run = watch_run_, sent = env_.now(), asked_for, before = next_read_](const ListResult& r) {
             if (run != watch_run_) return;
             watch_open_ = false;
             const bool asked_anew = std::exchange(watch_now_, false) && stale_;
-            if (r.too_old) return reload();
+            if (r.is_compacted) return reload();
             if (r.outcome != Outcome::ok) {
                 // Others are served: the answer may be longer than we take. Its pages are not.
                 if (store_.reachable() && ++watch_fails_ >= 3) return reload();
@@ -263,8 +266,8 @@
 
 // Asked one by one, the questions of some hundred users took the whole request budget of the state service,
 // and most of them were never answered.
-void Cluster::read_through(std::function<void(bool)> done) {
-    if (!in_touch() || reads_.size() >= most_reads) {
+void ClusterCoordinator::read_through(std::function<void(bool)> done) {
+    if (!is_up_to_date() || reads_.size() >= most_reads) {
         env_.after(Duration(0), [done = std::move(done)] { done(false); });
         return;
     }
@@ -274,15 +277,15 @@
     if (watch_open_) read_soon();
 }
 
-void Cluster::read_soon() {
+void ClusterCoordinator::read_soon() {
     if (std::exchange(read_armed_, true)) return;
     env_.after(std::max(Duration(millis(10)), last_read_ + watch_pause() - env_.now()), [this] {
         read_armed_ = false;
         if (reads_.empty() || loading_ || !watch_open_) return;
         last_read_ = env_.now();
-        store_.watch("z/", model_.seen, true,
+        store_.watch("z/", state_cache_.applied_revision, true,
                      [this, run = watch_run_, sent = env_.now(), before = next_read_](const ListResult& r) {
-                         if (run == watch_run_ && r.outcome == Outcome::ok && !r.too_old) {
+                         if (run == watch_run_ && r.outcome == Outcome::ok && !r.is_compacted) {
                              take_news(r, sent);
                              answer_reads(before);
                          }
@@ -291,7 +294,7 @@
     });
 }
 
-void Cluster::answer_reads(std::uint64_t before) {
+void ClusterCoordinator::answer_reads(std::uint64_t before) {
     while (!reads_.empty() && reads_.front().number < before) {
         auto done = std::move(reads_.front().done);
         reads_.pop_front();
@@ -299,23 +302,23 @@
     }
 }
 
-void Cluster::changed() {
-    if (!synced_) return;
-    const double even = 1.0 / static_cast<double>(std::max<std::size_t>(1, model_.nodes().size()));
-    store_.set_share(even, write_share_ > 0 ? write_share_ : even);
-    for (std::uint32_t k = 0; k < model_.parts().size(); ++k) {
+void ClusterCoordinator::changed() {
+    if (!is_synced_) return;
+    const double even = 1.0 / static_cast<double>(std::max<std::size_t>(1, state_cache_.live_nodes().size()));
+    store_.set_budget_share(even, write_share_ > 0 ? write_share_ : even);
+    for (std::uint32_t k = 0; k < state_cache_.shards().size(); ++k) {
         if (term(k)) {
-            if (announced_.insert(k).second && on_part_gained) on_part_gained(k);
+            if (announced_.insert(k).second && on_leadership_acquired) on_leadership_acquired(k);
         } else if (announced_.erase(k) > 0) {
-            log::info("event=part_lost part={} owner={} term={}", k, model_.parts()[k].owner.v,
-                      model_.parts()[k].term.v);
+            log::info("event=part_lost part={} owner={} term={}", k, state_cache_.shards()[k].leader.value(),
+                      state_cache_.shards()[k].term.value());
         }
     }
 }
 
-void Cluster::review() {
+void ClusterCoordinator::review() {
     env_.after(millis(100), [this] { review(); });
-    if (!in_touch() || loading_ || !registered_) return;
+    if (!is_up_to_date() || loading_ || !registered_) return;
     // A commit of our life before, held and carried out late, may have tied our record to a grant that then
     // ended.
     if (!is_live(settings_.node)) {
@@ -323,10 +326,10 @@
         register_node();
         return;
     }
-    auto among = live();
-    for (std::uint32_t k = 0; k < model_.parts().size(); ++k) {
-        const Part& p = model_.parts()[k];
-        if (term(k) && p.owner == settings_.node) {
+    auto among = live_nodes();
+    for (std::uint32_t k = 0; k < state_cache_.shards().size(); ++k) {
+        const Shard& p = state_cache_.shards()[k];
+        if (term(k) && p.leader == settings_.node) {
             // A returned node takes its own part back itself, at once.
             continue;
         }
@@ -335,36 +338,40 @@
         // length, we look alive to the others, and nobody else would.
         auto given = handed_over_.find(k);
         if (given != handed_over_.end() &&
-            (env_.now() - given->second > seconds(settings_.lease_s * 3) || !is_live(p.owner)))
+            (env_.now() - given->second > seconds(settings_.lease_s * 3) || !is_live(p.leader)))
             given = (handed_over_.erase(given), handed_over_.end());
         const bool mine =
-            (home == settings_.node && given == handed_over_.end()) || p.owner == settings_.node ||
-            (!is_live(home) && (p.owner == settings_.node || ((p.owner.empty() || !is_live(p.owner)) &&
-                                                              pick(keys::part(k), among) == settings_.node)));
+            (home == settings_.node && given == handed_over_.end()) || p.leader == settings_.node ||
+            (!is_live(home) &&
+             (p.leader == settings_.node || ((p.leader.empty() || !is_live(p.leader)) &&
+                                             pick_by_hash(keys::shard(k), among) == settings_.node)));
         // A claim just won is in the model only when the watch brings it.
         auto won = claims_.find(k);
-        const bool on_its_way = won != claims_.end() && won->second > model_.version(keys::part(k));
+        const bool on_its_way = won != claims_.end() && won->second > state_cache_.version(keys::shard(k));
         if (mine && !on_its_way && !claiming_.contains(k)) claim(k);
     }
-    if (!standing_ && (model_.supplier().empty() || !is_live(model_.supplier()))) stand_for_supplier();
+    if (!standing_ &&
+        (state_cache_.autoscaler_leader().empty() || !is_live(state_cache_.autoscaler_leader())))
+        stand_for_supplier();
 }
 
-void Cluster::write_owner(std::uint32_t part, const NodeName& owner, std::function<void(CommitResult)> done) {
-    Txn txn;
-    const std::string key = keys::part(part);
-    txn.conditions.push_back({key, model_.version(key)});
-    txn.writes.push_back({key, Json{{"owner", owner.v}, {"inc", incarnation_.v}}, std::nullopt});
-    store_.commit(txn, Urgency::lease, std::move(done));
+void ClusterCoordinator::write_owner(std::uint32_t part, const NodeName& owner,
+                                     std::function<void(CommitResult)> done) {
+    Transaction txn;
+    const std::string key = keys::shard(part);
+    txn.conditions.push_back({key, state_cache_.version(key)});
+    txn.writes.push_back({key, Json{{"owner", owner.value()}, {"inc", incarnation_.value()}}, std::nullopt});
+    store_.commit(txn, RequestPriority::lease, std::move(done));
 }
 
-void Cluster::claim(std::uint32_t part) {
+void ClusterCoordinator::claim(std::uint32_t part) {
     claiming_.insert(part);
     write_owner(part, settings_.node, [this, part](const CommitResult& r) {
         claiming_.erase(part);
         if (r.outcome == Outcome::ok) {
             claims_[part] = r.revision;
-            log::info("event=part_claimed part={} term={} from={}", part, r.revision.v,
-                      model_.parts()[part].owner.v);
+            log::info("event=part_claimed part={} term={} from={}", part, r.revision.value(),
+                      state_cache_.shards()[part].leader.value());
             // Not applied to the model here: the watch brings it after all that came before it. Perhaps it
             // has by now.
             changed();
@@ -374,28 +381,28 @@
     });
 }
 
-void Cluster::hand_over(std::uint32_t part) {
+void ClusterCoordinator::transfer_leadership(std::uint32_t part) {
     std::vector<NodeName> others;
-    for (const auto& n : live())
+    for (const auto& n : live_nodes())
         if (n != settings_.node) others.push_back(n);
-    if (others.empty() || !in_touch() || claiming_.contains(part)) return;
+    if (others.empty() || !is_up_to_date() || claiming_.contains(part)) return;
     claiming_.insert(part);
-    const NodeName to = pick(keys::part(part) + "+", others);
+    const NodeName to = pick_by_hash(keys::shard(part) + "+", others);
     handed_over_[part] = env_.now();
-    log::warn("event=part_handed_over part={} to={} reason=hears_no_worker", part, to.v);
+    log::warn("event=part_handed_over part={} to={} reason=hears_no_worker", part, to.value());
     // Named owner, the other one claims it under a term of its own.
     write_owner(part, to, [this, part](const CommitResult&) { claiming_.erase(part); });
 }
 
-void Cluster::stand_for_supplier() {
+void ClusterCoordinator::stand_for_supplier() {
     standing_ = true;
-    Txn txn;
-    txn.conditions.push_back({keys::supplier, model_.version(keys::supplier)});
-    txn.writes.push_back({keys::supplier, Json{{"node", settings_.node.v}}, grant_});
-    store_.commit(txn, Urgency::lease, [this](CommitResult r) {
-        if (r.outcome == Outcome::ok) log::info("event=supplier_elected revision={}", r.revision.v);
+    Transaction txn;
+    txn.conditions.push_back({keys::autoscaler_leader, state_cache_.version(keys::autoscaler_leader)});
+    txn.writes.push_back({keys::autoscaler_leader, Json{{"node", settings_.node.value()}}, grant_});
+    store_.commit(txn, RequestPriority::lease, [this](CommitResult r) {
+        if (r.outcome == Outcome::ok) log::info("event=supplier_elected revision={}", r.revision.value());
         env_.after(millis(300), [this] { standing_ = false; });
     });
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster_coordinator.h
@@ -9,68 +9,68 @@
 
 #include "base/env.h"
 #include "base/settings.h"
-#include "store/model.h"
-#include "store/store.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
 
-namespace zd {
+namespace zincdyke {
 
-class Cluster {
+class ClusterCoordinator {
   public:
-    Cluster(Env& env, const Settings& settings, StoreClient& store, Model& model);
+    ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& model);
     void start();
 
     // The model has been read in full and the watch goes on from there.
-    bool synced() const { return synced_; }
+    bool is_synced() const { return is_synced_; }
     // The state service answers, and what it holds was read since it last went away: nothing is decided on
     // the view from before a cut. Back from one, a supplier took the machines that others had long taken over
     // for silent ones. Nor is anything on the view from before this process stood still: its own timer,
     // overdue, tells so before it runs.
-    bool in_touch() const {
-        return synced_ && !stale_ && store_.reachable() && env_.now() - awake_ < stall_limit;
+    bool is_up_to_date() const {
+        return is_synced_ && !stale_ && store_.reachable() && env_.now() - awake_ < stall_limit;
     }
     // Term of a part that this process owns, as far as it knows.
     std::optional<Term> term(std::uint32_t part) const;
-    std::optional<Term> term_of(const MachineId& m) const { return term(model_.part_of(m)); }
+    std::optional<Term> leader_term(const MachineId& m) const { return term(state_cache_.shard_of(m)); }
     // The node that a worker should report to.
-    std::optional<NodeName> owner_of(const MachineId& m) const;
-    bool is_supplier() const;  // and in touch
-    std::vector<NodeName> live() const;
-    bool is_live(const NodeName& n) const { return model_.nodes().contains(n); }
+    std::optional<NodeName> leader_of(const MachineId& m) const;
+    bool is_autoscaler_leader() const;  // and in touch
+    std::vector<NodeName> live_nodes() const;
+    bool is_live(const NodeName& n) const { return state_cache_.live_nodes().contains(n); }
     // The controller that relays the job: the one that accepted it, or while that is away one picked by hash.
     NodeName relay_of(const Job& j) const;
     // The controller through which a job's starts and ends are committed: its relay, or for a limited team
     // one for all of the team's jobs. Any other may commit them too; this one does so without conflicts.
-    NodeName home_of(const Job& j) const;
+    NodeName committer_of(const Job& j) const;
     // What this node and its peers have to commit, by the latest beats; `heard` leaves out peers that are
     // silent.
-    void share_writes(double mine, const std::map<NodeName, double>& heard);
+    void update_write_share(double mine, const std::map<NodeName, double>& heard);
     // Picks among `among` by the hash of a key: each survivor takes its share.
-    static NodeName pick(const std::string& key, const std::vector<NodeName>& among);
+    static NodeName pick_by_hash(const std::string& key, const std::vector<NodeName>& among);
     // Unique to this process among all that ever ran: the revision of its first session.
     Revision incarnation() const { return incarnation_; }
 
     // Gives a part to another live controller: this one hears none of its workers. Taken back at the earliest
     // when a few leases have passed, or when the other is gone; a process that starts anew knows nothing of
     // it.
-    void hand_over(std::uint32_t part);
+    void transfer_leadership(std::uint32_t part);
 
     // Calls back, from the loop, when the model holds all that was committed before this call: one read of
     // the state service answers all who asked before it was sent. False when none was answered in time.
     void read_through(std::function<void(bool fresh)> done);
 
-    std::function<void(std::uint32_t part)> on_part_gained;
-    std::function<void()> on_synced;
+    std::function<void(std::uint32_t part)> on_leadership_acquired;
+    std::function<void()> on_first_sync;
     // What the state service held when it was asked, at `sent`, is in the model.
-    std::function<void(Mono sent)> on_read;
+    std::function<void(SteadyTime sent)> on_state_read;
 
   private:
     void acquire_session();
     void request_grant();
     void register_node();
     void renew();
-    void load(const std::string& after, Revision from, Mono begun);
+    void load(const std::string& after, Revision from, SteadyTime begun);
     void watch();
-    void take_news(const ListResult& news, Mono sent);
+    void take_news(const ListResult& news, SteadyTime sent);
     void watch_presence();
     void read_soon();
     void answer_reads(std::uint64_t before);
@@ -84,32 +84,32 @@
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
-    Model& model_;
+    StateCache& state_cache_;
     std::vector<NodeName> all_;
     std::uint64_t grant_ = 0;
     bool registered_ = false, registering_ = false, acquiring_ = false, renewing_ = false, loading_ = false,
-         synced_ = false, standing_ = false;
+         is_synced_ = false, standing_ = false;
     Revision incarnation_;
     static constexpr Duration stall_limit = std::chrono::seconds(1);
-    Mono awake_{};
+    SteadyTime awake_{};
     std::uint64_t watch_run_ = 0;
     int watch_fails_ = 0;
     bool stale_ = false, watch_now_ = false, watch_open_ = false, read_armed_ = false;
     struct Read {
         std::uint64_t number = 0;
-        Mono asked;
+        SteadyTime asked;
         std::function<void(bool)> done;
     };
     std::deque<Read> reads_;  // oldest first
     std::uint64_t next_read_ = 0;
-    Mono last_read_{};
+    SteadyTime last_read_{};
     double write_share_ = 0;                // 0: one by the number of nodes
     std::map<std::uint32_t, Term> claims_;  // won by this process
     std::set<std::uint32_t> claiming_;
-    std::map<std::uint32_t, Mono> handed_over_;
+    std::map<std::uint32_t, SteadyTime> handed_over_;
     std::set<std::uint32_t> announced_;
-    std::vector<Item> pending_;  // read so far by the load under way
+    std::vector<KeyUpdate> pending_;  // read so far by the load under way
     Duration life_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -5,23 +5,23 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration review_interval = std::chrono::milliseconds(500);
 
 std::string joined(const std::vector<NodeName>& names) {
     std::string text;
-    for (const auto& name : names) text += (text.empty() ? "" : ",") + name.v;
+    for (const auto& name : names) text += (text.empty() ? "" : ",") + name.value();
     return text;
 }
 }  // namespace
 
-FormatLevel::FormatLevel(Env& env, const Settings& settings, StoreClient& store, Model& model,
-                         Cluster& cluster)
+FormatLevel::FormatLevel(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+                         ClusterCoordinator& cluster)
     : env_(env),
       settings_(settings),
       store_(store),
-      model_(model),
+      state_cache_(model),
       cluster_(cluster),
       all_(settings.all_nodes()) {}
 
@@ -29,24 +29,26 @@
 
 std::vector<NodeName> FormatLevel::waiting_for() const {
     std::vector<NodeName> missing;
-    if (model_.format_level() >= highest_known) return missing;
+    if (state_cache_.format_level() >= highest_known) return missing;
     for (const auto& node : all_) {
-        const auto known = model_.known_formats().find(node);
-        if (known == model_.known_formats().end() || known->second < highest_known) missing.push_back(node);
+        const auto known = state_cache_.known_formats().find(node);
+        if (known == state_cache_.known_formats().end() || known->second < highest_known)
+            missing.push_back(node);
     }
     return missing;
 }
 
 void FormatLevel::review() {
     env_.after(review_interval, [this] { review(); });
-    if (!cluster_.in_touch() || busy_ || model_.format_level() >= highest_known) return;
+    if (!cluster_.is_up_to_date() || busy_ || state_cache_.format_level() >= highest_known) return;
     const auto missing = waiting_for();
     if (std::find(missing.begin(), missing.end(), settings_.node) != missing.end())
         return put(keys::known_format(settings_.node), highest_known, "format_registered");
     if (missing.size() != told_waiting_) log::info("event=format_level_waits for={}", joined(missing));
     told_waiting_ = missing.size();
     // One node is enough; any may do it, and again: the commit names the version that was seen.
-    if (missing.empty() && Cluster::pick(keys::format_level, cluster_.live()) == settings_.node)
+    if (missing.empty() &&
+        ClusterCoordinator::pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
         put(keys::format_level, highest_known, "format_level_raised");
 }
 
@@ -54,15 +56,15 @@
 // version.
 void FormatLevel::put(const std::string& key, std::uint32_t level, const char* event) {
     busy_ = true;
-    Txn txn;
-    txn.conditions.push_back({key, model_.version(key)});
+    Transaction txn;
+    txn.conditions.push_back({key, state_cache_.version(key)});
     txn.writes.push_back({key, Json{{"format", level}}, std::nullopt});
-    store_.commit(txn, Urgency::report, [this, key, txn, event](const CommitResult& result) {
+    store_.commit(txn, RequestPriority::report, [this, key, txn, event](const CommitResult& result) {
         busy_ = false;
         if (result.outcome != Outcome::ok) return;
-        log::info("event={} revision={}", event, result.revision.v);
-        model_.apply({key, txn.writes[0].value, result.revision});
+        log::info("event={} revision={}", event, result.revision.value());
+        state_cache_.apply({key, txn.writes[0].value, result.revision});
     });
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/cluster/format_level.h
+++ b/src/cluster/format_level.h
@@ -11,11 +11,11 @@
 
 #include "base/env.h"
 #include "base/settings.h"
-#include "cluster/cluster.h"
-#include "store/model.h"
-#include "store/store.h"
+#include "cluster/cluster_coordinator.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
 
-namespace zd {
+namespace zincdyke {
 
 class FormatLevel {
   public:
@@ -23,7 +23,8 @@
     static constexpr std::uint32_t small_pages = 1;
     static constexpr std::uint32_t highest_known = small_pages;
 
-    FormatLevel(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster);
+    FormatLevel(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+                ClusterCoordinator& cluster);
     void start();
     // The nodes that have not registered yet; the level waits for them.
     std::vector<NodeName> waiting_for() const;
@@ -34,11 +35,11 @@
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
-    Model& model_;
-    Cluster& cluster_;
+    StateCache& state_cache_;
+    ClusterCoordinator& cluster_;
     const std::vector<NodeName> all_;
     std::size_t told_waiting_ = 0;
     bool busy_ = false;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -1,4 +1,4 @@
-#include "jobs/api.h"
+#include "jobs/jobs_api.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 #include "sched/logic.h"
 #include "store/records.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr std::size_t most_open = 1000;  // requests being worked on; more are told to come back
 constexpr Duration submit_limit = std::chrono::milliseconds(3500);
@@ -29,15 +29,16 @@
     }
 }
 
-JobsApi::JobsApi(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster)
+JobsApi::JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+                 ClusterCoordinator& cluster)
     : env_(env),
       settings_(settings),
       store_(store),
-      model_(model),
+      state_cache_(model),
       cluster_(cluster),
       finals_(static_cast<std::size_t>(std::max(1000.0, settings.memory_mb * 100))) {}
 
-bool JobsApi::ready() const { return cluster_.synced() && !model_.types().empty(); }
+bool JobsApi::ready() const { return cluster_.is_synced() && !state_cache_.machine_types().empty(); }
 
 HttpResponse JobsApi::later(int s) { return {503, R"({"error":"try again later"})", s}; }
 
@@ -70,7 +71,7 @@
         }
     }
     // Told at once when to come back: no answer is held to keep a user from asking again.
-    if (!cluster_.synced() || !store_.reachable() || open_ >= most_open) {
+    if (!cluster_.is_synced() || !store_.reachable() || open_ >= most_open) {
         reply(later(1));
         return true;
     }
@@ -96,10 +97,10 @@
         return done(std::move(f));
     }
     // A job moves from its live record to its final one in one commit: read in this order it is never missed.
-    store_.get(keys::job(id), Urgency::user, [this, id, done](const GetResult& g) {
+    store_.get(keys::job(id), RequestPriority::user, [this, id, done](const GetResult& g) {
         Found f;
         if (g.outcome == Outcome::ok) {
-            model_.apply({keys::job(id), g.value, g.version});
+            state_cache_.apply({keys::job(id), g.value, g.version});
             if (auto j = records::decode_job(g.value)) {
                 f.what = Found::What::live;
                 j->version = g.version;
@@ -113,7 +114,7 @@
 }
 
 void JobsApi::look_up_final(const JobId& id, const OnFound& done) {
-    store_.get(keys::final_state(id), Urgency::user, [this, id, done](const GetResult& e) {
+    store_.get(keys::final_state(id), RequestPriority::user, [this, id, done](const GetResult& e) {
         Found found;
         if (e.outcome == Outcome::ok) {
             found.what = Found::What::final_state;
@@ -134,12 +135,13 @@
     cluster_.read_through([this, id, reply = std::move(reply)](bool fresh) {
         if (!fresh) return reply(later(1));
         Found f;
-        if (const Job* j = model_.job(id); j != nullptr) {
+        if (const Job* j = state_cache_.job(id); j != nullptr) {
             f.what = Found::What::live;
             f.job.cancelled = j->cancelled;
             return reply(answer(id, f, 200));
         }
-        if (model_.version(keys::job(id)) != Revision{}) return reply(later(1));  // there, and unreadable
+        if (state_cache_.version(keys::job(id)) != Revision{})
+            return reply(later(1));  // there, and unreadable
         look_up_final(id, [this, id, reply](const Found& found) { reply(answer(id, found, 200)); });
     });
 }
@@ -155,7 +157,7 @@
         case Found::What::live:
             break;
     }
-    const Job* j = model_.job(id);
+    const Job* j = state_cache_.job(id);
     if (f.job.cancelled) return {live_status, wire::job_answer(id, wire::Phase::cancelled), -1};
     const std::int64_t running = j != nullptr ? j->placed : 0, done = j != nullptr ? j->done : 0;
     return {live_status,
@@ -166,7 +168,7 @@
 std::string JobsApi::never_runs(const wire::JobSpec& s) const {
     auto team = settings_.teams.find(s.team);
     if (team == settings_.teams.end()) return "unknown team";
-    if (std::none_of(model_.types().begin(), model_.types().end(),
+    if (std::none_of(state_cache_.machine_types().begin(), state_cache_.machine_types().end(),
                      [&](const auto& t) { return sched::type_allowed(s, t); }))
         return "no allowed machine type fits a task";
     // All members of a gang, and all replicas of a service, run at the same time.
@@ -189,13 +191,13 @@
     j->relay = settings_.node;
     j->submitted = env_.wall();
     if (j->spec.one_zone) {
-        // Where it is expected to go; its first start decides (Model::bound_zone).
-        j->pinned_zone = j->spec.zone;
-        for (const auto& t : model_.types())
-            if (!j->pinned_zone && sched::type_allowed(j->spec, t) && !t.zones.empty())
-                j->pinned_zone = t.zones[std::hash<JobId>()(j->spec.id) % t.zones.size()];
+        // Where it is expected to go; its first start decides (StateCache::required_zone).
+        j->assigned_zone = j->spec.zone;
+        for (const auto& t : state_cache_.machine_types())
+            if (!j->assigned_zone && sched::type_allowed(j->spec, t) && !t.zones.empty())
+                j->assigned_zone = t.zones[std::hash<JobId>()(j->spec.id) % t.zones.size()];
     }
-    if (model_.job(j->spec.id) != nullptr)
+    if (state_cache_.job(j->spec.id) != nullptr)
         return look_up(j->spec.id,
                        [this, id = j->spec.id, reply](const Found& f) { reply(answer(id, f, 200)); });
     accept(j, env_.now() + submit_limit, reply);
@@ -208,17 +210,18 @@
     });
 }
 
-void JobsApi::accept(const std::shared_ptr<Job>& j, Mono until, const Reply& reply) {
-    Txn txn;
+void JobsApi::accept(const std::shared_ptr<Job>& j, SteadyTime until, const Reply& reply) {
+    Transaction txn;
     const JobId id = j->spec.id;
     txn.conditions = {{keys::job(id), Revision{}}, {keys::final_state(id), Revision{}}};
-    txn.writes.push_back({keys::job(id), model_.encode_job(*j), std::nullopt});
-    if (!store_.fits(txn)) return refuse(id, {400, R"({"error":"description too large"})", -1}, reply);
-    store_.commit(txn, Urgency::user, [this, j, id, txn, until, reply](const CommitResult& r) {
+    txn.writes.push_back({keys::job(id), state_cache_.encode_job(*j), std::nullopt});
+    if (!store_.is_within_limits(txn))
+        return refuse(id, {400, R"({"error":"description too large"})", -1}, reply);
+    store_.commit(txn, RequestPriority::user, [this, j, id, txn, until, reply](const CommitResult& r) {
         if (r.outcome == Outcome::ok) {
-            model_.apply({keys::job(id), txn.writes[0].value, r.revision});
-            log::info("event=job_accepted job={} class={} team={} tasks={} revision={}", id.v,
-                      j->spec.job_class, j->spec.team.v, j->spec.tasks, r.revision.v);
+            state_cache_.apply({keys::job(id), txn.writes[0].value, r.revision});
+            log::info("event=job_accepted job={} class={} team={} tasks={} revision={}", id.value(),
+                      j->spec.job_class, j->spec.team.value(), j->spec.tasks, r.revision.value());
             return reply({201, wire::job_answer(id, wire::Phase::queued), -1});
         }
         if (r.outcome == Outcome::conflict || r.outcome == Outcome::unknown) {
@@ -238,19 +241,19 @@
     });
 }
 
-void JobsApi::cancel(const JobId& id, Mono until, const Reply& reply) {
+void JobsApi::cancel(const JobId& id, SteadyTime until, const Reply& reply) {
     look_up(id, [this, id, until, reply](const Found& f) {
         if (f.what != Found::What::live || f.job.cancelled) return reply(answer(id, f, 200));
         Job j = f.job;
         j.cancelled = true;
-        Txn txn;
+        Transaction txn;
         txn.conditions.push_back({keys::job(id), f.job.version});
-        txn.writes.push_back({keys::job(id), model_.encode_job(j), std::nullopt});
-        store_.commit(txn, Urgency::user, [this, id, txn, until, reply](const CommitResult& r) {
+        txn.writes.push_back({keys::job(id), state_cache_.encode_job(j), std::nullopt});
+        store_.commit(txn, RequestPriority::user, [this, id, txn, until, reply](const CommitResult& r) {
             if (r.outcome == Outcome::ok) {
-                model_.apply({keys::job(id), txn.writes[0].value, r.revision});
-                log::info("event=job_cancelled job={} revision={}", id.v, r.revision.v);
-                if (on_cancelled) on_cancelled(id);
+                state_cache_.apply({keys::job(id), txn.writes[0].value, r.revision});
+                log::info("event=job_cancelled job={} revision={}", id.value(), r.revision.value());
+                if (on_job_cancelled) on_job_cancelled(id);
                 return reply({200, wire::job_answer(id, wire::Phase::cancelled), -1});
             }
             // Done meanwhile, or unknown: look again rather than guess.
@@ -264,4 +267,4 @@
     });
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/api.h
+++ b/src/jobs/jobs_api.h
@@ -5,11 +5,11 @@
 #include <unordered_map>
 
 #include "base/env.h"
-#include "cluster/cluster.h"
-#include "store/model.h"
-#include "store/store.h"
+#include "cluster/cluster_coordinator.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
 
-namespace zd {
+namespace zincdyke {
 
 // Final states already read from the state service, most recently used first. They never change.
 class FinalCache {
@@ -30,11 +30,12 @@
 
 class JobsApi {
   public:
-    JobsApi(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster);
+    JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+            ClusterCoordinator& cluster);
     // Handles paths below /api/jobs; false when the path is none of them.
     bool handle(const HttpRequest& req, const Reply& reply);
     bool ready() const;
-    std::function<void(const JobId&)> on_cancelled;  // committed, and about to be told
+    std::function<void(const JobId&)> on_job_cancelled;  // committed, and about to be told
 
   private:
     struct Found {
@@ -48,18 +49,18 @@
     void poll(const JobId& id, Reply reply);
     void submit(const HttpRequest& req, const Reply& reply);
     void refuse(const JobId& id, const HttpResponse& refusal, const Reply& reply);
-    void accept(const std::shared_ptr<Job>& j, Mono until, const Reply& reply);
-    void cancel(const JobId& id, Mono until, const Reply& reply);
+    void accept(const std::shared_ptr<Job>& j, SteadyTime until, const Reply& reply);
+    void cancel(const JobId& id, SteadyTime until, const Reply& reply);
     HttpResponse answer(const JobId& id, const Found& f, int live_status) const;
     std::string never_runs(const wire::JobSpec& s) const;
     static HttpResponse later(int seconds);
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
-    Model& model_;
-    Cluster& cluster_;
+    StateCache& state_cache_;
+    ClusterCoordinator& cluster_;
     FinalCache finals_;
     std::size_t open_ = 0;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -5,7 +5,7 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration gather_wait = std::chrono::milliseconds(300);  // from the first reply
 constexpr Duration asked_limit = std::chrono::seconds(4);  // a round unheard of for so long is asked again
@@ -19,14 +19,15 @@
 constexpr Duration tick_every = std::chrono::milliseconds(100);
 }  // namespace
 
-Relay::Relay(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster,
-             Ledger& ledger, SendPeer send, std::function<std::vector<NodeName>()> reachable)
+Relay::Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+             ClusterCoordinator& cluster, TaskCommitter& ledger, SendPeer send,
+             std::function<std::vector<NodeName>()> reachable)
     : env_(env),
       settings_(settings),
       store_(store),
-      model_(model),
+      state_cache_(model),
       cluster_(cluster),
-      ledger_(ledger),
+      committer_(ledger),
       send_(std::move(send)),
       reachable_(std::move(reachable)) {}
 
@@ -36,8 +37,8 @@
 
 void Relay::start() { tick(); }
 
-void Relay::on_job(const JobId& id) {
-    const Job* j = model_.job(id);
+void Relay::on_job_changed(const JobId& id) {
+    const Job* j = state_cache_.job(id);
     if (j == nullptr) {
         waiting_.erase(id);
         return;
@@ -49,7 +50,7 @@
 void Relay::note_placed(const Job& j, Waiting& w) const {
     const bool is_service = j.spec.is_service();
     const auto placed = std::erase_if(w.asked, [&](const auto& asked) {
-        if (model_.task({j.spec.id, asked.first}).at == TaskState::At::pending) return false;
+        if (state_cache_.task({j.spec.id, asked.first}).status == TaskState::Status::pending) return false;
         if (is_service) w.restarts.placed(asked.first, env_.now());
         return true;
     });
@@ -60,9 +61,9 @@
     if (std::exchange(woken_, true)) return;
     // Every change of a job wakes it: each plan walks all jobs, so that they keep a distance.
     const Duration since = env_.now() - planned_;
-    const Duration apart = std::max(
-        Duration(plan_apart),
-        millis(static_cast<std::int64_t>(std::min<std::size_t>(model_.jobs().size() / jobs_a_ms, 250))));
+    const Duration apart =
+        std::max(Duration(plan_apart), millis(static_cast<std::int64_t>(std::min<std::size_t>(
+                                           state_cache_.jobs().size() / jobs_a_ms, 250))));
     env_.after(std::max(Duration(millis(5)), apart - since), [this] {
         woken_ = false;
         plan();
@@ -71,11 +72,11 @@
 
 // Only those may ask again whose tasks would fit: when every end woke every waiting job, the rounds of a
 // burst took most of the controllers' processors.
-void Relay::on_freed(const wire::Freed& m) {
+void Relay::on_capacity_freed(const wire::CapacityFreedNotification& m) {
     std::set<JobKind> kinds;
     std::erase_if(no_room_, [&](const auto& e) {
         const Full& f = e.second;
-        if (!m.room.fits(f.need) ||
+        if (!m.free.covers(f.need) ||
             (f.types && std::find(f.types->begin(), f.types->end(), m.type) == f.types->end()))
             return false;
         kinds.insert(e.first);
@@ -83,20 +84,21 @@
     });
     if (kinds.empty()) return;
     for (auto& [id, w] : waiting_)
-        if (const Job* j = model_.job(id); j != nullptr && kinds.contains(kind_of(*j))) w.not_before = {};
+        if (const Job* j = state_cache_.job(id); j != nullptr && kinds.contains(kind_of(*j)))
+            w.not_before = {};
     wake();
 }
 
 // One pass for all jobs: judged one by one, each against all others, they took a quarter of a controller's
 // share.
-std::unordered_set<const Job*> Relay::within_guarantee(const Model& model) {
+std::unordered_set<const Job*> Relay::within_guarantee(const StateCache& model) {
     std::map<TeamName, std::vector<const Job*>> by_team;
     for (const auto& [id, j] : model.jobs())
-        if (const Team* t = model.team_settings(j.spec.team); t != nullptr && (t->cpu > 0 || t->gpu > 0))
+        if (const Team* t = model.team_limits(j.spec.team); t != nullptr && (t->cpu > 0 || t->gpu > 0))
             by_team[t->name].push_back(&j);
     std::unordered_set<const Job*> out;
     for (auto& [name, jobs] : by_team) {
-        const Team& t = *model.team_settings(name);
+        const Team& t = *model.team_limits(name);
         std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
             return std::tie(a->submitted, a->spec.id) < std::tie(b->submitted, b->spec.id);
         });
@@ -119,7 +121,7 @@
 }
 
 void Relay::tidy() {
-    Mono now = env_.now();
+    SteadyTime now = env_.now();
     std::erase_if(rounds_, [&](const auto& r) { return now - r.second.since > round_memory; });
     std::erase_if(no_room_, [&](const auto& r) { return r.second.until <= now; });
     std::erase_if(kind_next_, [&](const auto& k) { return k.second <= now; });
@@ -127,28 +129,28 @@
     // came back from another relay was taken for one that had been stuck here all the time, and was handed
     // back at once, without end.
     std::erase_if(waiting_, [&](const auto& w) {
-        const Job* j = model_.job(w.first);
+        const Job* j = state_cache_.job(w.first);
         return j == nullptr || cluster_.relay_of(*j) != settings_.node;
     });
 }
 
 void Relay::plan() {
     // A node without the state service starts nothing.
-    if (!cluster_.in_touch()) return;
-    const Mono now = env_.now();
+    if (!cluster_.is_up_to_date()) return;
+    const SteadyTime now = env_.now();
     planned_ = now;
     std::vector<const Job*> mine;
-    for (const auto& [id, j] : model_.jobs()) {
+    for (const auto& [id, j] : state_cache_.jobs()) {
         const bool over = (j.cancelled && j.placed == 0) || j.done == j.spec.tasks;
         const bool waits = !j.cancelled && j.pending() > 0;
         if ((!over && !waits) || cluster_.relay_of(j) != settings_.node) continue;
         if (over)
-            ledger_.close_job(id);
+            committer_.close_job(id);
         else
             mine.push_back(&j);
     }
     if (mine.empty()) return;
-    const auto guaranteed = within_guarantee(model_);
+    const auto guaranteed = within_guarantee(state_cache_);
     std::sort(mine.begin(), mine.end(), [&](const Job* a, const Job* b) {
         if (a->spec.rank != b->spec.rank) return a->spec.rank < b->spec.rank;
         const bool first = guaranteed.contains(a);
@@ -166,7 +168,8 @@
         const JobKind kind = kind_of(*j);
         if (auto next = kind_next_.find(kind); next != kind_next_.end() && next->second > now) continue;
         auto closed = no_room_.find(kind);
-        if (closed != no_room_.end() && closed->second.until > now && j->spec.need.fits(closed->second.need))
+        if (closed != no_room_.end() && closed->second.until > now &&
+            j->spec.need.covers(closed->second.need))
             continue;
         if (!ask(*j, w)) continue;
         ++begun;
@@ -177,25 +180,26 @@
 // A relay that reaches the state service but not its peers can use only its own machines: what finds no room
 // there goes to a controller that may reach more.
 bool Relay::hand_over(const Job& j, Waiting& w) {
-    const Mono now = env_.now();
-    if (w.stuck_since == Mono{} || now - w.stuck_since < stuck_limit || now - w.handed_over < stuck_limit)
+    const SteadyTime now = env_.now();
+    if (w.stuck_since == SteadyTime{} || now - w.stuck_since < stuck_limit ||
+        now - w.handed_over < stuck_limit)
         return false;
     auto near = reachable_();
     std::vector<NodeName> others;
-    for (const auto& n : cluster_.live())
+    for (const auto& n : cluster_.live_nodes())
         if (std::find(near.begin(), near.end(), n) == near.end()) others.push_back(n);
     if (others.empty()) return false;
     w.handed_over = now;
     Job moved = j;
-    moved.relay = Cluster::pick(j.spec.id.v, others);
+    moved.relay = ClusterCoordinator::pick_by_hash(j.spec.id.value(), others);
     const std::string key = keys::job(j.spec.id);
-    const Json value = model_.encode_job(moved);
-    store_.commit({{{key, j.version}}, {{key, value, std::nullopt}}}, Urgency::decision,
+    const Json value = state_cache_.encode_job(moved);
+    store_.commit({{{key, j.version}}, {{key, value, std::nullopt}}}, RequestPriority::decision,
                   [this, key, value, moved](CommitResult r) {
                       if (r.outcome != Outcome::ok) return;  // the watch tells what became of it
-                      log::info("event=job_handed_over job={} to={} revision={}", moved.spec.id.v,
-                                moved.relay.v, r.revision.v);
-                      model_.apply({key, value, r.revision});
+                      log::info("event=job_handed_over job={} to={} revision={}", moved.spec.id.value(),
+                                moved.relay.value(), r.revision.value());
+                      state_cache_.apply({key, value, r.revision});
                   });
     return true;
 }
@@ -203,21 +207,21 @@
 bool Relay::ask(const Job& j, Waiting& w) {
     const bool gang = j.spec.shape == wire::Shape::gang;
     if (gang && !w.asked.empty()) return false;
-    const Team* team = model_.team_settings(j.spec.team);
+    const Team* team = state_cache_.team_limits(j.spec.team);
     if (team == nullptr) return false;
     std::vector<TaskIndex> tasks;
     std::size_t most = gang ? j.spec.tasks : batch;
-    for (std::uint32_t p = 0; p < model_.pages_of(j) && tasks.size() < most; ++p) {
+    for (std::uint32_t p = 0; p < state_cache_.pages_of(j) && tasks.size() < most; ++p) {
         auto it = j.pages.find(p);
         if (it != j.pages.end() && it->second.placed + it->second.done == it->second.tasks.size()) continue;
-        TaskIndex n = model_.tasks_in(j, p);
+        TaskIndex n = state_cache_.tasks_in(j, p);
         for (TaskIndex i = 0; i < n && tasks.size() < most; ++i) {
-            TaskIndex t = i + p * model_.page_size(j);
-            if (it != j.pages.end() && it->second.tasks[i].at != TaskState::At::pending) continue;
+            TaskIndex t = i + p * state_cache_.page_size(j);
+            if (it != j.pages.end() && it->second.tasks[i].status != TaskState::Status::pending) continue;
             if (w.asked.contains(t)) continue;
             if (j.spec.is_service() && w.restarts.earliest_start(t, env_.now()) > env_.now()) continue;
             auto more = static_cast<TaskIndex>(tasks.size() + 1 + (gang ? 0 : w.asked.size()));
-            if (!model_.team_has_room(j.spec.team, j.spec.need, more)) break;
+            if (!state_cache_.fits_team_quota(j.spec.team, j.spec.need, more)) break;
             if (gang && !sched::next_attempt(j, it != j.pages.end() ? it->second.tasks[i] : TaskState{}))
                 return false;
             tasks.push_back(t);
@@ -226,10 +230,11 @@
     // All members of a gang are asked for at once, or only those that are missing from one under way.
     if (tasks.empty() || (gang && tasks.size() != j.pending())) return false;
     auto scorers = reachable_();
-    wire::Ask m;
-    m.round = {settings_.node, cluster_.incarnation().v * 1'000'000 + ++next_round_};
+    wire::PlacementRequest m;
+    m.round = {settings_.node, cluster_.incarnation().value() * 1'000'000 + ++next_round_};
     m.job = j.spec.id;
-    m.gatherer = Cluster::pick(j.spec.id.v + "#" + std::to_string(m.round.number), scorers);
+    m.gatherer =
+        ClusterCoordinator::pick_by_hash(j.spec.id.value() + "#" + std::to_string(m.round.number), scorers);
     m.scorers = static_cast<std::uint8_t>(std::min<std::size_t>(scorers.size(), 255));
     m.need = j.spec.need;
     m.image = j.spec.image;
@@ -242,11 +247,11 @@
     return true;
 }
 
-void Relay::on_offers(const wire::Offers& m) {
+void Relay::on_placement_response(const wire::PlacementResponse& m) {
     Gathering& g = rounds_[m.round];
     if (g.decided) {
         // Too late for the choice: the room is freed at once.
-        send_(m.scorer, wire::Verdict{m.round, m.job, {}});
+        send_(m.scorer, wire::PlacementDecision{m.round, m.job, {}});
         return;
     }
     if (g.answered.empty()) {
@@ -257,7 +262,7 @@
         g.timer = env_.after(gather_wait, [this, id = m.round] { decide(id); });
     }
     if (!g.answered.insert(m.scorer).second) return;
-    g.whole = g.whole || m.whole;
+    g.whole = g.whole || m.is_gang;
     for (const auto& o : m.offers) g.offers.push_back({o, m.scorer});
     if (g.answered.size() >= g.expected) {
         env_.cancel(g.timer);
@@ -273,35 +278,35 @@
     ++counts_.decided;
     counts_.decide_ms += static_cast<std::uint64_t>((env_.now() - g.since).count() / 1000);
     std::optional<TaskIndex> per_zone;
-    const Job* j = model_.job(g.job);
+    const Job* j = state_cache_.job(g.job);
     if (j != nullptr && j->spec.spread) per_zone = sched::spread_limit(j->spec.tasks);
     auto yes = sched::choose(std::move(g.offers), g.tasks, g.whole, per_zone, env_.rng(),
                              j != nullptr && j->spec.one_zone);
     g.offers.clear();
     std::set<TaskIndex> left(g.tasks.begin(), g.tasks.end());
     for (const auto& scorer : g.answered) {
-        wire::Verdict v{id, g.job, {}};
-        if (auto y = yes.find(scorer); y != yes.end()) v.yes = std::move(y->second);
-        for (const auto& a : v.yes) left.erase(a.task);
+        wire::PlacementDecision v{id, g.job, {}};
+        if (auto y = yes.find(scorer); y != yes.end()) v.accepted = std::move(y->second);
+        for (const auto& a : v.accepted) left.erase(a.task);
         send_(scorer, std::move(v));
     }
-    if (!left.empty()) send_(id.relay, wire::Unplaced{id, g.job, {left.begin(), left.end()}});
+    if (!left.empty()) send_(id.relay, wire::PlacementFailure{id, g.job, {left.begin(), left.end()}});
 }
 
-void Relay::on_unplaced(const wire::Unplaced& m) {
+void Relay::on_placement_failure(const wire::PlacementFailure& m) {
     auto it = waiting_.find(m.job);
     if (it == waiting_.end()) return;
     counts_.unplaced += m.tasks.size();
     for (TaskIndex t : m.tasks) it->second.asked.erase(t);
-    Mono until = env_.now() + millis(400);
-    if (it->second.stuck_since == Mono{}) it->second.stuck_since = env_.now();
+    SteadyTime until = env_.now() + millis(400);
+    if (it->second.stuck_since == SteadyTime{}) it->second.stuck_since = env_.now();
     it->second.not_before = until;
-    const Job* j = model_.job(m.job);
+    const Job* j = state_cache_.job(m.job);
     if (j == nullptr) return;
     Full& f = no_room_[kind_of(*j)];
-    if (f.until <= env_.now() || f.need.fits(j->spec.need)) f.need = j->spec.need;
+    if (f.until <= env_.now() || f.need.covers(j->spec.need)) f.need = j->spec.need;
     f.types = j->spec.types;
     f.until = until;
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -8,39 +8,40 @@
 #include <vector>
 
 #include "base/env.h"
-#include "cluster/cluster.h"
-#include "jobs/ledger.h"
+#include "cluster/cluster_coordinator.h"
 #include "jobs/restart_backoff.h"
+#include "jobs/task_committer.h"
 #include "sched/logic.h"
 #include "sched/placement_constraints.h"
-#include "store/model.h"
-#include "wire/peer.h"
+#include "store/state_cache.h"
+#include "wire/peer_messages.h"
 
-namespace zd {
+namespace zincdyke {
 
 class Relay {
   public:
     using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
-    Relay(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster,
-          Ledger& ledger, SendPeer send, std::function<std::vector<NodeName>()> reachable);
+    Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+          ClusterCoordinator& cluster, TaskCommitter& ledger, SendPeer send,
+          std::function<std::vector<NodeName>()> reachable);
     void start();
-    void on_job(const JobId& id);
-    void on_offers(const wire::Offers& m);
-    void on_unplaced(const wire::Unplaced& m);
-    void on_freed(const wire::Freed& m);
+    void on_job_changed(const JobId& id);
+    void on_placement_response(const wire::PlacementResponse& m);
+    void on_placement_failure(const wire::PlacementFailure& m);
+    void on_capacity_freed(const wire::CapacityFreedNotification& m);
     struct Counts {
         std::uint64_t rounds = 0, decided = 0, decide_ms = 0, unplaced = 0;
     };
     const Counts& counts() const { return counts_; }
     // The jobs that fit their team's guarantee together with the team's earlier unfinished ones.
-    static std::unordered_set<const Job*> within_guarantee(const Model& model);
+    static std::unordered_set<const Job*> within_guarantee(const StateCache& model);
 
   private:
     struct Waiting {
-        std::map<TaskIndex, Mono> asked;  // in a round, or said yes to and not yet seen placed
-        Mono not_before{};
-        Mono stuck_since{};  // tasks found no room since then
-        Mono handed_over{};
+        std::map<TaskIndex, SteadyTime> asked;  // in a round, or said yes to and not yet seen placed
+        SteadyTime not_before{};
+        SteadyTime stuck_since{};  // tasks found no room since then
+        SteadyTime handed_over{};
         RestartBackoff restarts;  // of a service's replicas
     };
     struct Gathering {
@@ -52,7 +53,7 @@
         std::size_t expected = 0;
         Env::TimerId timer = 0;
         bool decided = false;
-        Mono since{};
+        SteadyTime since{};
     };
     void tick();
     void wake();
@@ -65,9 +66,9 @@
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
-    Model& model_;
-    Cluster& cluster_;
-    Ledger& ledger_;
+    StateCache& state_cache_;
+    ClusterCoordinator& cluster_;
+    TaskCommitter& committer_;
     SendPeer send_;
     std::function<std::vector<NodeName>()> reachable_;
     std::map<JobId, Waiting> waiting_;
@@ -84,17 +85,17 @@
     static JobKind kind_of(const Job& j);
     // What found no room lately: jobs of that kind that need as much or more are not asked for until then.
     struct Full {
-        Room need;
+        Resources need;
         std::optional<std::vector<std::string>> types;
-        Mono until{};
+        SteadyTime until{};
     };
     std::map<JobKind, Full> no_room_;
     // When the next job of a kind may ask. One round at a time shows whether there is room at all: all
     // waiting jobs of a burst asking at once took the whole share of the controllers' processors.
-    std::map<JobKind, Mono> kind_next_;
+    std::map<JobKind, SteadyTime> kind_next_;
     bool woken_ = false;
-    Mono planned_{};
+    SteadyTime planned_{};
     Counts counts_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/restart_backoff.cpp
+++ b/src/jobs/restart_backoff.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration short_run = std::chrono::seconds(30);
 // The first short run may be its machine's fault.
@@ -11,13 +11,13 @@
 constexpr int most_doublings = 5;
 }  // namespace
 
-void RestartBackoff::placed(TaskIndex replica, Mono now) {
+void RestartBackoff::placed(TaskIndex replica, SteadyTime now) {
     Replica& r = replicas_[replica];
     r.placed = now;
     r.runs = true;
 }
 
-Mono RestartBackoff::earliest_start(TaskIndex replica, Mono now) {
+SteadyTime RestartBackoff::earliest_start(TaskIndex replica, SteadyTime now) {
     const auto known = replicas_.find(replica);
     if (known == replicas_.end()) return now;
     Replica& r = known->second;
@@ -32,4 +32,4 @@
     return r.earliest;
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/restart_backoff.h
+++ b/src/jobs/restart_backoff.h
@@ -5,22 +5,22 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 class RestartBackoff {
   public:
     // The replica was placed on a machine.
-    void placed(TaskIndex replica, Mono now);
+    void placed(TaskIndex replica, SteadyTime now);
     // The replica has to run again: when it may be started, at the earliest.
-    Mono earliest_start(TaskIndex replica, Mono now);
+    SteadyTime earliest_start(TaskIndex replica, SteadyTime now);
 
   private:
     struct Replica {
-        Mono placed{}, earliest{};
+        SteadyTime placed{}, earliest{};
         int short_runs = 0;  // one after the other
         bool runs = false;
     };
     std::map<TaskIndex, Replica> replicas_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/ledger.h
+++ b/src/jobs/task_committer.h
@@ -1,6 +1,6 @@
 // Commits what happens to tasks: starts before they are ordered, ends before they are told. Those of one job
-// come together at its home (Cluster::home_of), whoever owns the machines: a page of tasks that every owner
-// wrote for itself cost a conflict for each write that counted.
+// come together at its home (ClusterCoordinator::committer_of), whoever owns the machines: a page of tasks
+// that every owner wrote for itself cost a conflict for each write that counted.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,47 +10,47 @@
 #include <vector>
 
 #include "base/env.h"
-#include "cluster/cluster.h"
+#include "cluster/cluster_coordinator.h"
 #include "jobs/team_locks.h"
-#include "store/model.h"
-#include "store/store.h"
-#include "wire/peer.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
+#include "wire/peer_messages.h"
 
-namespace zd {
+namespace zincdyke {
 
 enum class TaskEvent : std::uint8_t { place, finish, release };
 
-class Ledger {
+class TaskCommitter {
   public:
     using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
     // `near` tells whether a peer answers and reaches the state service.
-    Ledger(Env& env, const Settings& settings, StoreClient& store, Model& model, Cluster& cluster,
-           SendPeer send, std::function<bool(const NodeName&)> near);
+    TaskCommitter(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+                  ClusterCoordinator& cluster, SendPeer send, std::function<bool(const NodeName&)> near);
     void start();
-    void on_settle(const NodeName& from, const wire::Settle& m);
-    void on_settled(const wire::Settled& m);
+    void on_commit_request(const NodeName& from, const wire::CommitRequest& m);
+    void on_commit_response(const wire::CommitResponse& m);
     using Done = std::function<void(bool placed)>;
     // A start: committed on the conditions that the job is not cancelled, that this node still owns the
     // machine's part and that the team has room.
-    void place(const TaskRef& t, const MachineId& m, const std::string& zone, Done done);
-    void finish(const TaskRef& t, Attempt a, const MachineId& m);
+    void commit_start(const TaskRef& t, const MachineId& m, const std::string& zone, Done done);
+    void commit_completion(const TaskRef& t, Attempt a, const MachineId& m);
     // The attempt is over, or surely never began; `why` is for the log.
-    void release(const TaskRef& t, Attempt a, const MachineId& m, const char* why);
+    void commit_release(const TaskRef& t, Attempt a, const MachineId& m, const char* why);
     // An end of this attempt waits to be committed: it must not be ordered to run again meanwhile.
-    bool ending(const TaskRef& t, Attempt a) const {
+    bool has_pending_end(const TaskRef& t, Attempt a) const {
         return waiting_.contains({t, {TaskEvent::finish, a}}) ||
                waiting_.contains({t, {TaskEvent::release, a}});
     }
     // A job's pages became smaller: what waits is sorted into them.
-    void on_resized(const JobId& id);
+    void on_pages_resized(const JobId& id);
     // Turns a job that is over into its final record.
     void close_job(const JobId& id);
-    std::size_t queued() const { return ops_; }
+    std::size_t queue_length() const { return ops_; }
     // How much this node has to commit, smoothed; once for each beat.
-    double demand();
+    double sample_write_demand();
     struct Counts {
-        std::uint64_t commits = 0, pages = 0, starts = 0, ends = 0, conflicts = 0, sent_home = 0,
-                      taken_back = 0;
+        std::uint64_t commits = 0, pages = 0, starts = 0, ends = 0, conflicts = 0, forwarded = 0,
+                      reclaimed = 0;
     };
     const Counts& counts() const { return counts_; }
 
@@ -65,10 +65,10 @@
         // The term under which this was decided. Evidence gathered in one term proves nothing in another:
         // between the two, another owner may have renewed the lease or started the task again.
         Term term;
-        Mono since;
+        SteadyTime since;
         Done done;
-        NodeName from;             // the owner that sent it here; empty: this node
-        std::uint64_t ticket = 0;  // that owner's name for it
+        NodeName from;                 // the owner that sent it here; empty: this node
+        std::uint64_t request_id = 0;  // that owner's name for it
     };
     struct PageKey {
         JobId job;
@@ -84,7 +84,7 @@
     struct Lane {
         std::map<PageKey, std::vector<Op>> ops;
         bool in_flight = false;
-        std::optional<Mono> due;
+        std::optional<SteadyTime> due;
     };
     // An operation of ours that is at its job's home.
     struct Remote {
@@ -92,16 +92,16 @@
         Op op;
         NodeName home;
         Revision home_session;  // of the process that was asked
-        Mono asked;
+        SteadyTime asked;
     };
     // A transaction in the making, and the operations that it carries out.
     struct Draft {
-        Txn txn;
+        Transaction txn;
         std::vector<std::pair<PageKey, std::vector<Op>>> taken;
         std::map<std::uint32_t, Term> parts;  // whose owners' terms the operations were judged under
         std::map<JobId, std::string> zones;   // of one-zone jobs with starts in this draft
         std::set<JobId> moved;                // jobs whose record names their new zone
-        TeamUse use;                          // of the lane's team, this draft's starts and ends included
+        QuotaUsage use;                       // of the lane's team, this draft's starts and ends included
         std::size_t bytes = 0;
         bool urgent = false;
     };
@@ -114,10 +114,10 @@
     Duration gather_time(const Op& op, const PageKey& page, std::size_t waiting) const;
     bool near_team_limit(const Job& j) const;
     void answer(const JobId& job, Op& op, bool done);
-    void send_results(const Txn* txn, Revision r);
+    void send_results(const Transaction* txn, Revision r);
     LaneKey lane_of(const PageKey& page, TaskEvent event) const;
     void schedule(const LaneKey& key, Duration d);
-    void arm(Mono at);
+    void arm(SteadyTime at);
     void pump();
     void flush(const LaneKey& key, std::size_t most_writes);
     bool may_start(const LaneKey& key);
@@ -142,27 +142,27 @@
     PageKey page_key_of(const JobId& job, TaskIndex task) const;
     std::optional<Term> valid_term(const Op& op, std::uint32_t part) const;
     bool zone_allowed(const Job& j, const std::string& zone, const Draft& d) const;
-    bool apply(const Job& j, Op& op, std::vector<TaskState>& tasks, std::uint32_t page, TeamUse& use);
+    bool apply(const Job& j, Op& op, std::vector<TaskState>& tasks, std::uint32_t page, QuotaUsage& use);
     void refresh(const LaneKey& lane, const std::vector<std::string>& wanted);
-    static std::vector<std::string> keys_of(const Txn& txn);
-    void adopt(const Txn& txn, Revision r);
+    static std::vector<std::string> keys_of(const Transaction& txn);
+    void adopt(const Transaction& txn, Revision r);
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
-    Model& model_;
-    Cluster& cluster_;
+    StateCache& state_cache_;
+    ClusterCoordinator& cluster_;
     SendPeer send_;
     std::function<bool(const NodeName&)> near_;
     TeamLocks locks_;
     std::map<LaneKey, Lane> lanes_;
     std::set<PageKey> pages_in_flight_;
     Env::TimerId timer_ = 0;
-    Mono timer_at_{};
+    SteadyTime timer_at_{};
     std::map<std::uint64_t, Remote> remote_;  // by ticket
     std::map<std::pair<NodeName, JobId>, std::vector<std::uint64_t>> outbox_;
     bool outbox_armed_ = false, results_armed_ = false;
-    std::uint64_t next_ticket_ = 0;
-    std::map<NodeName, std::vector<wire::SettledOp>> results_;
+    std::uint64_t next_request_id_ = 0;
+    std::map<NodeName, std::vector<wire::OperationResult>> results_;
     Counts counts_;
     std::uint64_t pages_told_ = 0;
     double demand_ = 0;
@@ -172,4 +172,4 @@
     std::size_t ops_ = 0;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/jobs/team_locks.h
+++ b/src/jobs/team_locks.h
@@ -8,15 +8,15 @@
 #include <optional>
 
 #include "base/env.h"
-#include "cluster/cluster.h"
-#include "store/model.h"
-#include "store/store.h"
+#include "cluster/cluster_coordinator.h"
+#include "store/state_cache.h"
+#include "store/store_client.h"
 
-namespace zd {
+namespace zincdyke {
 
 class TeamLocks {
   public:
-    TeamLocks(Env& env, StoreClient& store, Model& model, Cluster& cluster, NodeName self);
+    TeamLocks(Env& env, StoreClient& store, StateCache& model, ClusterCoordinator& cluster, NodeName self);
     // The fencing token, if this process holds the lock and the model shows every task of the team that may
     // be on a machine; nothing otherwise.
     std::optional<Revision> token(const TeamName& team);
@@ -36,8 +36,8 @@
         Revision complete_from;  // the model is complete for this team once it has been read up to here
         std::uint64_t model_generation = 0;
         bool taking = false;
-        Revision other_version;  // the record as another controller wrote it,
-        Mono other_since{};      // and when it was first seen
+        Revision other_version;    // the record as another controller wrote it,
+        SteadyTime other_since{};  // and when it was first seen
     };
     bool other_may_use(const TeamName& team, Lock& lock) const;
     void write_record(const TeamName& team);
@@ -45,10 +45,10 @@
     void await_model(const TeamName& team);
     Env& env_;
     StoreClient& store_;
-    Model& model_;
-    Cluster& cluster_;
+    StateCache& state_cache_;
+    ClusterCoordinator& cluster_;
     const NodeName self_;
     std::map<TeamName, Lock> locks_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_client.cpp
+++ b/src/loop/http_client.cpp
@@ -11,7 +11,7 @@
 
 #include "loop/http_message.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr std::size_t read_buffer_bytes = std::size_t{32} * 1024;
 constexpr Duration sweep_interval = std::chrono::seconds(2);
@@ -43,7 +43,7 @@
     CallPtr call;
     std::size_t sent = 0;
     bool connected = false;
-    Mono since{};
+    SteadyTime since{};
 };
 
 HttpClient::HttpClient(Loop& loop, ClientLimits limits) : loop_(loop), limits_(limits) { sweep(); }
@@ -240,7 +240,7 @@
 }
 
 void HttpClient::sweep() {
-    const Mono now = Loop::now();
+    const SteadyTime now = Loop::now();
     std::vector<ConnectionPtr> late;
     for (const auto& [address, host] : hosts_)
         for (const auto& c : host.open)
@@ -250,4 +250,4 @@
     loop_.after(sweep_interval, [this] { sweep(); });
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_client.h
+++ b/src/loop/http_client.h
@@ -11,7 +11,7 @@
 #include "base/env.h"
 #include "loop/loop.h"
 
-namespace zd {
+namespace zincdyke {
 
 /// Bounds on the connections, queues and responses of an HttpClient.
 struct ClientLimits {
@@ -70,4 +70,4 @@
     std::deque<std::string> starved_;  // addresses whose calls wait for any connection to close
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_message.cpp
+++ b/src/loop/http_message.cpp
@@ -2,7 +2,7 @@
 
 #include <climits>
 
-namespace zd {
+namespace zincdyke {
 namespace {
 HttpMessageParser& parser_of(http_parser* parser) { return *static_cast<HttpMessageParser*>(parser->data); }
 }  // namespace
@@ -90,4 +90,4 @@
     return State::partial;
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_message.h
+++ b/src/loop/http_message.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace zd {
+namespace zincdyke {
 
 /// Largest request body that the server accepts, in bytes.
 constexpr std::size_t max_request_body = std::size_t{64} * 1024;
@@ -51,4 +51,4 @@
     std::size_t max_body_, head_bytes_ = 0;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_server.cpp
+++ b/src/loop/http_server.cpp
@@ -13,7 +13,7 @@
 
 #include "loop/http_message.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr int max_accepts_per_event = 64;
 constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
@@ -60,7 +60,7 @@
 struct HttpServer::Connection {
     enum class Wait : std::uint8_t { idle, reading, handling, writing };
 
-    void begin_wait(Wait kind, Mono now) {
+    void begin_wait(Wait kind, SteadyTime now) {
         wait = kind;
         since = now;
     }
@@ -71,7 +71,7 @@
     std::size_t sent = 0;
     bool busy = false, closing = false;
     Wait wait = Wait::idle;
-    Mono since{};  // start of the present wait
+    SteadyTime since{};  // start of the present wait
 };
 
 HttpServer::HttpServer(Loop& loop, const std::string& address, ServerLimits limits, Handler handler)
@@ -145,7 +145,7 @@
 }
 
 void HttpServer::sweep() {
-    const Mono now = Loop::now();
+    const SteadyTime now = Loop::now();
     std::vector<ConnectionPtr> late;
     for (const auto& [fd, c] : connections_)
         if (now - c->since > wait_limit(*c)) late.push_back(c);
@@ -251,4 +251,4 @@
     resume_accepting();
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/http_server.h
+++ b/src/loop/http_server.h
@@ -10,7 +10,7 @@
 #include "base/env.h"
 #include "loop/loop.h"
 
-namespace zd {
+namespace zincdyke {
 
 /// Bounds on what peers may hold of an HttpServer.
 struct ServerLimits {
@@ -64,4 +64,4 @@
     std::unordered_map<int, ConnectionPtr> connections_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <vector>
 
-namespace zd {
+namespace zincdyke {
 
 void Fd::reset() {
     if (fd_ >= 0) ::close(fd_);
@@ -75,16 +75,16 @@
     if (!epoll_.valid()) throw std::runtime_error("epoll_create1 failed");
 }
 
-Mono Loop::now() {
+SteadyTime Loop::now() {
     timespec t{};
     ::clock_gettime(CLOCK_MONOTONIC, &t);
-    return Mono(Duration(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000));
+    return SteadyTime(Duration(static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000));
 }
 
-WallMs Loop::wall() {
+WallTime Loop::wall() {
     timespec t{};
     ::clock_gettime(CLOCK_REALTIME, &t);
-    return WallMs{static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_nsec / 1'000'000};
+    return WallTime{static_cast<std::int64_t>(t.tv_sec) * 1000 + t.tv_nsec / 1'000'000};
 }
 
 void Loop::watch(int fd, std::uint32_t events, Handler handler) {
@@ -108,7 +108,7 @@
 
 Loop::TimerId Loop::after(Duration d, std::function<void()> fn) {
     TimerId id = next_timer_++;
-    Mono due = now() + std::max(d, Duration(0));
+    SteadyTime due = now() + std::max(d, Duration(0));
     timers_.emplace(std::make_pair(due, id), std::move(fn));
     due_[id] = due;
     return id;
@@ -122,7 +122,7 @@
 }
 
 void Loop::run_timers() {
-    Mono t = now();
+    SteadyTime t = now();
     // Timers set by these do not run before the next poll, so that they cannot starve the sockets.
     TimerId last = next_timer_;
     for (auto it = timers_.begin(); it != timers_.end() && it->first.first <= t;) {
@@ -157,4 +157,4 @@
     run_timers();
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -11,7 +11,7 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 // Owns a file descriptor.
 class Fd {
@@ -48,8 +48,8 @@
     using TimerId = std::uint64_t;
     using Handler = std::function<void(std::uint32_t events)>;
     Loop();
-    static Mono now();
-    static WallMs wall();
+    static SteadyTime now();
+    static WallTime wall();
     void watch(int fd, std::uint32_t events, Handler handler);
     void change(int fd, std::uint32_t events);
     void forget(int fd);
@@ -64,9 +64,9 @@
     Fd epoll_;
     // Handlers are shared so that one may forget itself, or another, while it runs.
     std::unordered_map<int, std::shared_ptr<Handler>> handlers_;
-    std::map<std::pair<Mono, TimerId>, std::function<void()>> timers_;
-    std::unordered_map<TimerId, Mono> due_;
+    std::map<std::pair<SteadyTime, TimerId>, std::function<void()>> timers_;
+    std::unordered_map<TimerId, SteadyTime> due_;
     TimerId next_timer_ = 1;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/peers.cpp
+++ b/src/loop/peers.cpp
@@ -11,7 +11,7 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr std::size_t most_unsent = std::size_t{1024} * 1024;
 constexpr Duration dial_limit = std::chrono::milliseconds(1500);
@@ -33,20 +33,20 @@
     if (it == out_.end()) return;
     Out& o = it->second;
     // Bounded: what a peer doesn't read is dropped, and every sender copes with lost messages.
-    const bool oversized = frame.size() > wire::max_peer_frame + wire::peer_header;
+    const bool oversized = frame.size() > wire::max_peer_frame + wire::peer_header_bytes;
     if (oversized || o.buffer.size() + frame.size() > most_unsent) {
         if (!std::exchange(o.dropping, true))
-            log::warn("event=peer_messages_dropped to={} reason={} bytes={}", to.v,
+            log::warn("event=peer_messages_dropped to={} reason={} bytes={}", to.value(),
                       oversized ? "oversized" : "unread", o.buffer.size() + frame.size());
         return;
     }
     o.dropping = false;
-    Mono now = Loop::now();
+    SteadyTime now = Loop::now();
     if (o.fd.valid() && now - o.since > (o.connected ? stuck_limit : dial_limit) &&
         (!o.connected || !o.buffer.empty()))
         hang_up(o);
     if (!o.fd.valid()) {
-        if (now - o.since < millis(300) && o.since != Mono{}) return;
+        if (now - o.since < millis(300) && o.since != SteadyTime{}) return;
         dial(to);
         if (!o.fd.valid()) return;
     }
@@ -130,21 +130,23 @@
     if (n <= 0) return close(in);
     in->buffer.append(buf, static_cast<std::size_t>(n));
     std::size_t at = 0;
-    while (in->buffer.size() - at >= wire::peer_header) {
+    while (in->buffer.size() - at >= wire::peer_header_bytes) {
         std::uint32_t length = 0;
-        for (std::size_t i = wire::peer_header; i-- > 0;)
+        for (std::size_t i = wire::peer_header_bytes; i-- > 0;)
             length = (length << 8) | static_cast<unsigned char>(in->buffer[at + i]);
         if (length > wire::max_peer_frame) {
-            log::warn("event=peer_message_refused from={} reason=oversized bytes={}", in->from.v, length);
+            log::warn("event=peer_message_refused from={} reason=oversized bytes={}", in->from.value(),
+                      length);
             return close(in);
         }
-        if (in->buffer.size() - at - wire::peer_header < length) break;
-        auto m = wire::decode(std::string_view(in->buffer).substr(at + wire::peer_header, length));
-        at += wire::peer_header + length;
+        if (in->buffer.size() - at - wire::peer_header_bytes < length) break;
+        auto m = wire::decode(std::string_view(in->buffer).substr(at + wire::peer_header_bytes, length));
+        at += wire::peer_header_bytes + length;
         const auto* hello = m ? std::get_if<wire::Hello>(&*m) : nullptr;
         const bool known = hello != nullptr && out_.contains(hello->node);
         if (!m || (in->from.empty() && !known)) {
-            log::warn("event=peer_message_refused from={} reason=undecodable bytes={}", in->from.v, length);
+            log::warn("event=peer_message_refused from={} reason=undecodable bytes={}", in->from.value(),
+                      length);
             return close(in);
         }
         if (hello != nullptr) {
@@ -169,4 +171,4 @@
     in_.erase(fd.get());
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/loop/peers.h
+++ b/src/loop/peers.h
@@ -8,9 +8,9 @@
 
 #include "base/settings.h"
 #include "loop/loop.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
-namespace zd {
+namespace zincdyke {
 
 class PeerLinks {
   public:
@@ -23,7 +23,7 @@
         std::string address, buffer;
         Fd fd;
         bool connected = false, dropping = false;
-        Mono since{};
+        SteadyTime since{};
     };
     struct In {
         Fd fd;
@@ -44,4 +44,4 @@
     std::unordered_map<int, std::shared_ptr<In>> in_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <sstream>
 
-namespace zd {
+namespace zincdyke {
 namespace {
 
 constexpr std::size_t most_memory = std::size_t{4} * 1024 * 1024;
@@ -103,4 +103,4 @@
     return parse_policy(text.str(), path);
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -3,7 +3,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace zd {
+namespace zincdyke {
 
 struct PolicyError : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -24,4 +24,4 @@
 Policy load_policy(const std::string& path);
 Policy parse_policy(const std::string& script, const std::string& name = "policy");
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/sched/logic.cpp
+++ b/src/sched/logic.cpp
@@ -4,9 +4,9 @@
 #include <queue>
 #include <utility>
 
-namespace zd::sched {
+namespace zincdyke::sched {
 
-std::size_t tasks_that_fit(const Room& room, const Room& need) {
+std::size_t tasks_that_fit(const Resources& room, const Resources& need) {
     std::int64_t most = wire::max_tasks;
     const auto limit = [&](std::int64_t there, std::int64_t each) {
         if (each > 0) most = std::min(most, there / each);
@@ -19,24 +19,24 @@
 
 bool type_allowed(const wire::JobSpec& s, const wire::MachineType& t) {
     if (s.types && std::find(s.types->begin(), s.types->end(), t.name) == s.types->end()) return false;
-    return t.room.fits(s.need);
+    return t.capacity.covers(s.need);
 }
 
-bool worth_using(const wire::JobSpec& s, const wire::MachineType& t,
-                 const std::vector<wire::MachineType>& types) {
-    if (s.need.gpu > 0 || t.room.gpu == 0) return true;
+bool should_use_type(const wire::JobSpec& s, const wire::MachineType& t,
+                     const std::vector<wire::MachineType>& types) {
+    if (s.need.gpu > 0 || t.capacity.gpu == 0) return true;
     return std::none_of(types.begin(), types.end(),
-                        [&](const auto& o) { return o.room.gpu == 0 && type_allowed(s, o); });
+                        [&](const auto& o) { return o.capacity.gpu == 0 && type_allowed(s, o); });
 }
 
-bool yields(const wire::JobSpec& s, const Reservation& r) {
+bool can_be_preempted_for(const wire::JobSpec& s, const Reservation& r) {
     return s.rank > r.rank && s.shape == wire::Shape::array && s.checkpoint_s > 0 && r.save_s > 0 &&
            s.save_s <= r.save_s;
 }
 
-bool may_use(const wire::JobSpec& s, const Reservation& r) {
+bool may_use_reserved(const wire::JobSpec& s, const Reservation& r) {
     if (!r.job.empty()) return s.id == r.job;
-    return (s.job_class == r.job_class && s.rank <= r.rank) || yields(s, r);
+    return (s.job_class == r.job_class && s.rank <= r.rank) || can_be_preempted_for(s, r);
 }
 
 bool machine_allowed(const wire::JobSpec& s, const std::optional<std::string>& pin, const std::string& type,
@@ -47,17 +47,17 @@
     return s.spot || !spot;
 }
 
-bool comes_before(const Job& a, const Job& b, double apart_s) {
+bool has_precedence(const Job& a, const Job& b, double apart_s) {
     if (a.spec.rank != b.spec.rank) return a.spec.rank < b.spec.rank;
-    return static_cast<double>(b.submitted.v - a.submitted.v) > apart_s * 1000;
+    return static_cast<double>(b.submitted.value() - a.submitted.value()) > apart_s * 1000;
 }
 
-bool has_less_choice(const wire::JobSpec& a, const wire::JobSpec& b,
+bool has_fewer_types(const wire::JobSpec& a, const wire::JobSpec& b,
                      const std::vector<wire::MachineType>& types) {
     bool less = false;
     for (const auto& t : types) {
-        const bool fits_a = type_allowed(a, t) && worth_using(a, t, types);
-        const bool fits_b = type_allowed(b, t) && worth_using(b, t, types);
+        const bool fits_a = type_allowed(a, t) && should_use_type(a, t, types);
+        const bool fits_b = type_allowed(b, t) && should_use_type(b, t, types);
         if (fits_a && !fits_b) return false;
         less = less || (fits_b && !fits_a);
     }
@@ -69,7 +69,7 @@
 constexpr std::int64_t image_score = 100'000, replica_score = 60'000, trouble_score = 1'000'000;
 }  // namespace
 
-std::int64_t score(const Candidate& c, const Room& need, const Room& largest) {
+std::int64_t score(const Candidate& c, const Resources& need, const Resources& largest) {
     auto share = [](std::int64_t left, std::int64_t of) { return of > 0 ? left * 1000 / of : 0; };
     std::int64_t room = share(c.free.cpu - need.cpu, largest.cpu) + share(c.free.ram - need.ram, largest.ram);
     if (need.gpu > 0)
@@ -80,9 +80,9 @@
            trouble_score * std::int64_t{c.penalty};
 }
 
-std::vector<wire::Offer> rank(std::vector<Candidate>& candidates, const Room& need, std::size_t tasks,
-                              RankOptions options) {
-    Room largest;
+std::vector<wire::PlacementOffer> rank(std::vector<Candidate>& candidates, const Resources& need,
+                                       std::size_t tasks, RankOptions options) {
+    Resources largest;
     for (const auto& c : candidates) {
         largest.cpu = std::max(largest.cpu, c.total.cpu);
         largest.gpu = std::max(largest.gpu, c.total.gpu);
@@ -92,10 +92,10 @@
     std::priority_queue<std::pair<std::int64_t, std::size_t>> best;
     const std::size_t n = candidates.size();
     auto enter = [&](std::size_t i) {
-        if (candidates[i].free.fits(need)) best.emplace(score(candidates[i], need, largest), n - i);
+        if (candidates[i].free.covers(need)) best.emplace(score(candidates[i], need, largest), n - i);
     };
     for (std::size_t i = 0; i < n; ++i) enter(i);
-    std::vector<wire::Offer> offers;
+    std::vector<wire::PlacementOffer> offers;
     std::map<std::string, std::size_t> taken;
     while ((options.each_zone || offers.size() < tasks) && !best.empty()) {
         const auto [top, rest] = best.top();
@@ -154,11 +154,12 @@
     GangState g;
     for (const auto& [n, p] : j.pages)
         for (const auto& t : p.tasks)
-            if (t.at != TaskState::At::done) g.attempt = std::max(g.attempt, t.attempt);
+            if (t.status != TaskState::Status::done) g.attempt = std::max(g.attempt, t.attempt);
     for (const auto& [n, p] : j.pages)
         for (const auto& t : p.tasks) {
-            if (t.at == TaskState::At::placed) ++g.placed;
-            if (t.at == TaskState::At::pending && t.attempt == g.attempt && g.attempt > 0) g.failed = true;
+            if (t.status == TaskState::Status::placed) ++g.placed;
+            if (t.status == TaskState::Status::pending && t.attempt == g.attempt && g.attempt > 0)
+                g.failed = true;
         }
     return g;
 }
@@ -174,4 +175,4 @@
     return std::max<Attempt>(g.attempt, 1);
 }
 
-}  // namespace zd::sched
+}  // namespace zincdyke::sched
--- a/src/sched/placement_constraints.h
+++ b/src/sched/placement_constraints.h
@@ -7,7 +7,7 @@
 
 #include "wire/json_api.h"
 
-namespace zd::sched {
+namespace zincdyke::sched {
 
 /// What a job asks of its machines apart from the room that they need to have free.
 ///
@@ -24,4 +24,4 @@
     auto operator<=>(const PlacementConstraints&) const = default;
 };
 
-}  // namespace zd::sched
+}  // namespace zincdyke::sched
--- a/src/sched/spread.cpp
+++ b/src/sched/spread.cpp
@@ -4,7 +4,7 @@
 
 #include "sched/logic.h"
 
-namespace zd::sched {
+namespace zincdyke::sched {
 namespace {
 TaskIndex most_in_a_zone(std::uint32_t page, std::size_t tasks) {
     const auto n = static_cast<TaskIndex>(tasks);
@@ -13,7 +13,7 @@
 
 TaskIndex placed_in(const std::vector<TaskState>& tasks, const std::string& zone) {
     return static_cast<TaskIndex>(std::count_if(tasks.begin(), tasks.end(), [&](const auto& t) {
-        return t.at == TaskState::At::placed && t.zone == zone;
+        return t.status == TaskState::Status::placed && t.zone == zone;
     }));
 }
 }  // namespace
@@ -27,11 +27,11 @@
     return std::all_of(j.pages.begin(), j.pages.end(), [](const auto& entry) {
         const auto& [n, page] = entry;
         const TaskIndex most = most_in_a_zone(n, page.tasks.size());
-        return std::all_of(page.tasks.begin(), page.tasks.end(),
-                           [&, &tasks = page.tasks](const TaskState& t) {
-                               return t.at != TaskState::At::placed || placed_in(tasks, t.zone) <= most;
-                           });
+        return std::all_of(
+            page.tasks.begin(), page.tasks.end(), [&, &tasks = page.tasks](const TaskState& t) {
+                return t.status != TaskState::Status::placed || placed_in(tasks, t.zone) <= most;
+            });
     });
 }
 
-}  // namespace zd::sched
+}  // namespace zincdyke::sched
--- a/src/sched/spread.h
+++ b/src/sched/spread.h
@@ -6,7 +6,7 @@
 
 #include "store/job.h"
 
-namespace zd::sched {
+namespace zincdyke::sched {
 
 // Whether one more task of the page may be placed in the zone. Each page keeps to half of its own tasks, the
 // first rounding up: together they keep to half of all.
@@ -17,4 +17,4 @@
 // Once a page keeps to its half it does so for good.
 bool every_page_spread(const Job& j);
 
-}  // namespace zd::sched
+}  // namespace zincdyke::sched
--- a/src/store/job.cpp
+++ b/src/store/job.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-namespace zd {
+namespace zincdyke {
 
 void Page::count() {
-    const auto in = [&](TaskState::At at) {
+    const auto in = [&](TaskState::Status at) {
         return static_cast<TaskIndex>(
-            std::count_if(tasks.begin(), tasks.end(), [&](const auto& t) { return t.at == at; }));
+            std::count_if(tasks.begin(), tasks.end(), [&](const auto& t) { return t.status == at; }));
     };
-    placed = in(TaskState::At::placed);
-    done = in(TaskState::At::done);
+    placed = in(TaskState::Status::placed);
+    done = in(TaskState::Status::done);
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -9,10 +9,10 @@
 #include "base/types.h"
 #include "wire/json_api.h"
 
-namespace zd {
+namespace zincdyke {
 
 struct TaskState {
-    enum class At : std::uint8_t { pending, placed, done } at = At::pending;
+    enum class Status : std::uint8_t { pending, placed, done } status = Status::pending;
     Attempt attempt = 0;  // placed: the present one; pending: the last that ended
     MachineId machine;
     std::string zone;  // of the machine, where the job asks to be spread
@@ -28,22 +28,23 @@
 
 // One unfinished job.
 //
-// Its tasks are stored in pages. A page of production's size (Model::standard_page_size) may be too large a
-// value after the state service has lowered its limits. The job's record then names a smaller page size, once
-// and for good: the pages written until then are frozen, and a smaller page takes precedence over its range
-// of them from its first write on (docs/design.md, "Upgrade").
+// Its tasks are stored in pages. A page of production's size (StateCache::standard_page_size) may be too
+// large a value after the state service has lowered its limits. The job's record then names a smaller page
+// size, once and for good: the pages written until then are frozen, and a smaller page takes precedence over
+// its range of them from its first write on (docs/design.md, "Upgrade").
 struct Job {
     wire::JobSpec spec;
     Revision version;
     bool cancelled = false;
     NodeName relay;
-    WallMs submitted;
-    std::optional<std::string> pinned_zone;  // for one_zone jobs: where its tasks are, or are expected to go
-    std::uint32_t small_page_size = 0;       // 0: pages are of the standard size
+    WallTime submitted;
+    std::optional<std::string>
+        assigned_zone;                  // for one_zone jobs: where its tasks are, or are expected to go
+    std::uint32_t small_page_size = 0;  // 0: pages are of the standard size
     std::map<std::uint32_t, Page> pages;
     std::map<std::uint32_t, Page> frozen_pages;  // of the standard size, where `pages` are smaller
     TaskIndex placed = 0, done = 0;
     TaskIndex pending() const { return spec.tasks - placed - done; }
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -5,7 +5,7 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 namespace keys {
 inline const std::string live = "z/";
@@ -14,10 +14,10 @@
 std::string small_page(const JobId& id, std::uint32_t n);
 std::string final_state(const JobId& id);
 std::string node(const NodeName& n);
-std::string part(std::uint32_t k);
-std::string team(const TeamName& t);
-inline const std::string supplier = "z/s";
-inline const std::string types = "z/f";
+std::string shard(std::uint32_t k);
+std::string team_lock(const TeamName& t);
+inline const std::string autoscaler_leader = "z/s";
+inline const std::string machine_types = "z/f";
 // What a controller's version of the program understands, and the format level that the fleet writes.
 std::string known_format(const NodeName& n);
 inline const std::string format_level = "z/l";
@@ -25,4 +25,4 @@
 JobId job_of_page(const std::string& key);
 }  // namespace keys
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -4,7 +4,7 @@
 
 #include "base/log.h"
 
-namespace zd::records {
+namespace zincdyke::records {
 namespace {
 // Where a controller of an earlier version called a replica done, its attempt is lost. The next one is above
 // any that it may have had.
@@ -30,10 +30,10 @@
     if (!spec) return std::nullopt;
     Job j;
     j.spec = std::move(*spec);
-    j.submitted = WallMs{v.value("at", std::int64_t{0})};
+    j.submitted = WallTime{v.value("at", std::int64_t{0})};
     j.relay = NodeName(v.value("relay", ""));
     j.cancelled = v.value("x", false);
-    if (v.contains("pin")) j.pinned_zone = v["pin"].get<std::string>();
+    if (v.contains("pin")) j.assigned_zone = v["pin"].get<std::string>();
     const auto small_page_size = small_page_size_in(v);
     if (!small_page_size) return std::nullopt;
     j.small_page_size = *small_page_size;
@@ -48,11 +48,11 @@
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         const TaskState& t = tasks[i];
         const std::size_t index = i + first;
-        if (t.at == TaskState::At::placed) {
-            Json e = {index, t.attempt, t.machine.v};
+        if (t.status == TaskState::Status::placed) {
+            Json e = {index, t.attempt, t.machine.value()};
             if (!t.zone.empty()) e.push_back(t.zone);
             placed.push_back(std::move(e));
-        } else if (t.at == TaskState::At::done) {
+        } else if (t.status == TaskState::Status::done) {
             any_done = true;
             char& c = done[i / 4];
             int digit = (c <= '9' ? c - '0' : c - 'a' + 10) | (1 << (i % 4));
@@ -77,7 +77,7 @@
         if (v.contains("p"))
             for (const auto& e : v["p"]) {
                 TaskState& t = slot(e);
-                t = {TaskState::At::placed, e.at(1).get<Attempt>(), MachineId(e.at(2).get<std::string>()),
+                t = {TaskState::Status::placed, e.at(1).get<Attempt>(), MachineId(e.at(2).get<std::string>()),
                      ""};
                 if (e.size() > 3) t.zone = e.at(3).get<std::string>();
             }
@@ -93,20 +93,20 @@
                 if (is_service)
                     tasks[i].attempt = above_lost_attempt;
                 else
-                    tasks[i].at = TaskState::At::done;
+                    tasks[i].status = TaskState::Status::done;
             }
         }
     } catch (const std::exception& e) {
-        log::error("event=bad_record job={} first_task={} why={}", j.spec.id.v, first, e.what());
+        log::error("event=bad_record job={} first_task={} why={}", j.spec.id.value(), first, e.what());
         return std::nullopt;
     }
     return tasks;
 }
 
 Json encode_job(const Job& j, const std::vector<wire::MachineType>& types, std::size_t most_bytes) {
-    Json v = {{"spec", wire::spec_to_json(j.spec)}, {"at", j.submitted.v}, {"relay", j.relay.v}};
+    Json v = {{"spec", wire::spec_to_json(j.spec)}, {"at", j.submitted.value()}, {"relay", j.relay.value()}};
     if (j.cancelled) v["x"] = true;
-    if (j.pinned_zone) v["pin"] = *j.pinned_zone;
+    if (j.assigned_zone) v["pin"] = *j.assigned_zone;
     if (j.small_page_size != 0) v["pages"] = {{"layout", small_pages_layout}, {"size", j.small_page_size}};
     if (v.dump().size() <= most_bytes) return v;
     // Accepted under larger limits, it must still be possible to cancel it and to hand it on. Only the list
@@ -129,4 +129,4 @@
     }
 }
 
-}  // namespace zd::records
+}  // namespace zincdyke::records
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -9,7 +9,7 @@
 #include "store/job.h"
 #include "wire/json_api.h"
 
-namespace zd::records {
+namespace zincdyke::records {
 
 using wire::Json;
 
@@ -24,4 +24,4 @@
 // Nothing when it can't be read, or its pages are of a layout that this version doesn't know.
 std::optional<Job> decode_job(const Json& v);
 
-}  // namespace zd::records
+}  // namespace zincdyke::records
