--- a/src/store/model.cpp
+++ b/src/store/state_cache.cpp
@@ -1,4 +1,4 @@
-#include "store/model.h"
+#include "store/state_cache.h"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include "base/log.h"
 #include "store/records.h"
 
-namespace zd {
+namespace zincdyke {
 
 namespace {
 // The longest entry of a placed task: index, attempt, machine and zone with their punctuation.
@@ -22,41 +22,41 @@
 }
 }  // namespace
 
-Model::Model(const Settings& settings)
+StateCache::StateCache(const Settings& settings)
     : settings_(settings),
       standard_page_size_(page_size_for(settings.state_limits)),
       safe_page_size_(page_size_for(settings.strictest_limits)),
-      parts_(settings.size) {}
+      shards_(settings.size) {}
 
-void Model::clear() {
+void StateCache::clear() {
     versions_.clear();
     present_.clear();
     jobs_.clear();
     by_machine_.clear();
-    parts_.assign(settings_.size, Part{});
-    nodes_.clear();
+    shards_.assign(settings_.size, Shard{});
+    live_nodes_.clear();
     team_lock_holders_.clear();
     placed_by_team_.clear();
     ++generation_;
-    supplier_ = {};
-    types_.clear();
-    orphans_.clear();
+    autoscaler_leader_ = {};
+    machine_types_.clear();
+    orphaned_pages_.clear();
     known_formats_.clear();
-    seen = {};
-    if (on_jobs) on_jobs();
+    applied_revision = {};
+    if (on_jobs_changed) on_jobs_changed();
 }
 
-Revision Model::version(const std::string& key) const {
+Revision StateCache::version(const std::string& key) const {
     auto it = present_.find(key);
     return it != present_.end() && it->second ? versions_.at(key) : Revision{};
 }
 
-const Job* Model::job(const JobId& id) const {
+const Job* StateCache::job(const JobId& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-TaskState Model::task(const TaskRef& t) const {
+TaskState StateCache::task(const TaskRef& t) const {
     const Job* j = job(t.job);
     if (j == nullptr) return {};
     auto p = j->pages.find(page_of(*j, t.task));
@@ -64,62 +64,63 @@
     return p == j->pages.end() || at >= p->second.tasks.size() ? TaskState{} : p->second.tasks[at];
 }
 
-const std::set<TaskRef>& Model::on_machine(const MachineId& m) const {
+const std::set<TaskRef>& StateCache::tasks_on(const MachineId& m) const {
     static const std::set<TaskRef> none;
     auto it = by_machine_.find(m);
     return it == by_machine_.end() ? none : it->second;
 }
 
-TeamUse Model::team(const TeamName& t) const {
+QuotaUsage StateCache::quota_usage(const TeamName& t) const {
     auto it = placed_by_team_.find(t);
-    return it != placed_by_team_.end() ? it->second : TeamUse{};
+    return it != placed_by_team_.end() ? it->second : QuotaUsage{};
 }
 
-const NodeName& Model::team_lock_holder(const TeamName& t) const {
+const NodeName& StateCache::team_lock_holder(const TeamName& t) const {
     static const NodeName none;
     auto it = team_lock_holders_.find(t);
     return it != team_lock_holders_.end() ? it->second : none;
 }
 
-const Team* Model::team_settings(const TeamName& t) const {
+const Team* StateCache::team_limits(const TeamName& t) const {
     auto it = settings_.teams.find(t);
     return it == settings_.teams.end() ? nullptr : &it->second;
 }
 
-bool Model::team_has_room(const TeamName& t, const Room& need, TaskIndex tasks) const {
-    const Team* s = team_settings(t);
+bool StateCache::fits_team_quota(const TeamName& t, const Resources& need, TaskIndex tasks) const {
+    const Team* s = team_limits(t);
     if (s == nullptr) return false;
-    TeamUse u = team(t);
+    QuotaUsage u = quota_usage(t);
     auto n = static_cast<std::int64_t>(tasks);
     return (s->cpu_max == 0 || u.cpu + need.cpu * n <= s->cpu_max) &&
            (s->gpu_max == 0 || u.gpu + need.gpu * n <= s->gpu_max);
 }
 
-const wire::MachineType* Model::type(const std::string& name) const {
-    auto it = std::find_if(types_.begin(), types_.end(), [&](const auto& t) { return t.name == name; });
-    return it == types_.end() ? nullptr : &*it;
+const wire::MachineType* StateCache::machine_type(const std::string& name) const {
+    auto it = std::find_if(machine_types_.begin(), machine_types_.end(),
+                           [&](const auto& t) { return t.name == name; });
+    return it == machine_types_.end() ? nullptr : &*it;
 }
 
-bool Model::work_waits() const {
+bool StateCache::has_pending_tasks() const {
     return std::any_of(jobs_.begin(), jobs_.end(),
                        [](const auto& j) { return !j.second.cancelled && j.second.pending() > 0; });
 }
 
-std::uint32_t Model::part_of(const MachineId& m) const {
-    return static_cast<std::uint32_t>(XXH64(m.v.data(), m.v.size(), 0) % parts_.size());
+std::uint32_t StateCache::shard_of(const MachineId& m) const {
+    return static_cast<std::uint32_t>(XXH64(m.value().data(), m.value().size(), 0) % shards_.size());
 }
 
-TaskIndex Model::tasks_in(const Job& j, std::uint32_t page) const {
+TaskIndex StateCache::tasks_in(const Job& j, std::uint32_t page) const {
     return std::min(page_size(j), j.spec.tasks - page * page_size(j));
 }
 
-std::string Model::page_key(const Job& j, std::uint32_t page) {
+std::string StateCache::page_key(const Job& j, std::uint32_t page) {
     return j.small_page_size != 0 ? keys::small_page(j.spec.id, page) : keys::page(j.spec.id, page);
 }
 
-bool Model::is_written(const std::string& key) const { return version(key) != Revision{}; }
+bool StateCache::is_written(const std::string& key) const { return version(key) != Revision{}; }
 
-std::vector<Condition> Model::page_conditions(const Job& j, std::uint32_t page) const {
+std::vector<Condition> StateCache::page_conditions(const Job& j, std::uint32_t page) const {
     const std::string key = page_key(j, page);
     std::vector<Condition> conditions{{key, version(key)}};
     if (j.small_page_size == 0 || is_written(key)) return conditions;
@@ -130,16 +131,16 @@
     return conditions;
 }
 
-std::vector<TaskState> Model::page_tasks(const Job& j, std::uint32_t page) const {
+std::vector<TaskState> StateCache::page_tasks(const Job& j, std::uint32_t page) const {
     auto it = j.pages.find(page);
     return it != j.pages.end() ? it->second.tasks : std::vector<TaskState>(tasks_in(j, page));
 }
 
-Json Model::encode_job(const Job& j) const {
-    return records::encode_job(j, types_, settings_.strictest_limits.value_bytes());
+Json StateCache::encode_job(const Job& j) const {
+    return records::encode_job(j, machine_types_, settings_.strictest_limits.value_bytes());
 }
 
-void Model::apply(const Item& item) {
+void StateCache::apply(const KeyUpdate& item) {
     auto known = versions_.find(item.key);
     // The watch trails behind this node's own commits, and lists may be older than either.
     if (known != versions_.end() && item.version <= known->second) return;
@@ -155,55 +156,55 @@
     } else if (k.rfind("z/n/", 0) == 0) {
         NodeName n(k.substr(4));
         if (item.value)
-            nodes_[n] = item.version;
+            live_nodes_[n] = item.version;
         else
-            nodes_.erase(n);
-        if (on_cluster) on_cluster();
+            live_nodes_.erase(n);
+        if (on_membership_changed) on_membership_changed();
     } else if (k.rfind("z/p/", 0) == 0) {
         std::size_t part = 0;
         for (std::size_t i = 4; i < k.size() && k[i] >= '0' && k[i] <= '9' && part < 100000; ++i)
             part = part * 10 + static_cast<std::size_t>(k[i] - '0');
-        if (part < parts_.size() && item.value)
-            parts_[part] = {NodeName(item.value->value("owner", "")), item.version};
-        if (on_cluster) on_cluster();
+        if (part < shards_.size() && item.value)
+            shards_[part] = {NodeName(item.value->value("owner", "")), item.version};
+        if (on_membership_changed) on_membership_changed();
     } else if (k.rfind("z/q/", 0) == 0) {
         if (item.value) team_lock_holders_[TeamName(k.substr(4))] = NodeName(item.value->value("node", ""));
-    } else if (k == keys::supplier) {
-        supplier_ = item.value ? NodeName(item.value->value("node", "")) : NodeName();
-        if (on_cluster) on_cluster();
-    } else if (k == keys::types && item.value) {
-        if (auto t = wire::types_from_json(*item.value)) types_ = std::move(*t);
+    } else if (k == keys::autoscaler_leader) {
+        autoscaler_leader_ = item.value ? NodeName(item.value->value("node", "")) : NodeName();
+        if (on_membership_changed) on_membership_changed();
+    } else if (k == keys::machine_types && item.value) {
+        if (auto t = wire::types_from_json(*item.value)) machine_types_ = std::move(*t);
     }
     if (!item.value && versions_.size() > 4096) {
         // Versions of deleted keys guard against older news only; once the watch is past them they can go.
         std::erase_if(versions_, [&](const auto& e) {
-            bool drop = e.second < seen && !present_.at(e.first);
+            bool drop = e.second < applied_revision && !present_.at(e.first);
             if (drop) present_.erase(e.first);
             return drop;
         });
     }
 }
 
-void Model::apply_job(const JobId& id, const Item& item) {
+void StateCache::apply_job(const JobId& id, const KeyUpdate& item) {
     if (!item.value) {
-        called_off_.erase(id);
+        known_cancelled_.erase(id);
         auto it = jobs_.find(id);
         if (it == jobs_.end()) return;
         for (auto& [n, p] : it->second.pages) {
             set_page(it->second, n, std::vector<TaskState>(p.tasks.size()), p.version);
         }
-        for (const auto& key : written_pages(it->second)) orphans_.insert(key);
+        for (const auto& key : written_pages(it->second)) orphaned_pages_.insert(key);
         jobs_.erase(it);
-        if (on_jobs) on_jobs();
-        if (on_job) on_job(id);
+        if (on_jobs_changed) on_jobs_changed();
+        if (on_job_changed) on_job_changed(id);
         return;
     }
     auto decoded = records::decode_job(*item.value);
     if (!decoded) {
-        log::error("event=bad_record job={}", id.v);
+        log::error("event=bad_record job={}", id.value());
         return;
     }
-    if (!jobs_.contains(id) && on_jobs) on_jobs();
+    if (!jobs_.contains(id) && on_jobs_changed) on_jobs_changed();
     Job& j = jobs_[id];
     decoded->pages = std::move(j.pages);
     decoded->frozen_pages = std::move(j.frozen_pages);
@@ -215,28 +216,28 @@
     j.version = item.version;
     if (resized) {
         freeze_pages(j);
-        if (on_resized) on_resized(id);
+        if (on_pages_resized) on_pages_resized(id);
     }
     if (j.cancelled)
-        called_off_.insert(id);
+        known_cancelled_.insert(id);
     else
-        j.cancelled = called_off_.contains(id);
-    if (on_job) on_job(id);
-    if (j.cancelled && !was && on_cancelled) on_cancelled(id);
+        j.cancelled = known_cancelled_.contains(id);
+    if (on_job_changed) on_job_changed(id);
+    if (j.cancelled && !was && on_job_cancelled) on_job_cancelled(id);
 }
 
-void Model::call_off(const JobId& id) {
-    if (!called_off_.insert(id).second) return;
-    if (called_off_.size() > most_called_off)
-        std::erase_if(called_off_, [&](const auto& c) { return !jobs_.contains(c); });
+void StateCache::mark_cancelled(const JobId& id) {
+    if (!known_cancelled_.insert(id).second) return;
+    if (known_cancelled_.size() > most_called_off)
+        std::erase_if(known_cancelled_, [&](const auto& c) { return !jobs_.contains(c); });
     auto j = jobs_.find(id);
     if (j == jobs_.end() || j->second.cancelled) return;
     j->second.cancelled = true;
-    if (on_job) on_job(id);
-    if (on_cancelled) on_cancelled(id);
+    if (on_job_changed) on_job_changed(id);
+    if (on_job_cancelled) on_job_cancelled(id);
 }
 
-std::vector<std::string> Model::written_pages(const Job& j) const {
+std::vector<std::string> StateCache::written_pages(const Job& j) const {
     std::vector<std::string> written;
     const auto add = [&](const std::string& key) {
         if (is_written(key)) written.push_back(key);
@@ -247,12 +248,12 @@
 }
 
 // Lets a key be taken over again when it comes again, though no newer.
-void Model::forget_version(const std::string& key) {
+void StateCache::forget_version(const std::string& key) {
     versions_.erase(key);
     present_.erase(key);
 }
 
-void Model::apply_page(const Item& item) {
+void StateCache::apply_page(const KeyUpdate& item) {
     const JobId id = keys::job_of_page(item.key);
     if (id.empty()) return;
     std::uint32_t n = 0;
@@ -260,7 +261,7 @@
         n = n * 10 + static_cast<std::uint32_t>(item.key[i] - '0');
     auto it = jobs_.find(id);
     if (!item.value) {
-        orphans_.erase(item.key);
+        orphaned_pages_.erase(item.key);
         return;  // pages go with their job
     }
     if (it == jobs_.end()) {
@@ -268,18 +269,18 @@
         // the watch brings both from there on. Kept as known, the page was skipped when it came again, and
         // its tasks were taken for pending.
         forget_version(item.key);
-        orphans_.insert(item.key);
+        orphaned_pages_.insert(item.key);
         return;
     }
-    orphans_.erase(item.key);
+    orphaned_pages_.erase(item.key);
     if (item.key.rfind("z/t/", 0) == 0)
         apply_standard_page(it->second, n, item);
     else
         apply_small_page(it->second, n, item);
-    if (on_job) on_job(id);
+    if (on_job_changed) on_job_changed(id);
 }
 
-void Model::apply_standard_page(Job& j, std::uint32_t n, const Item& item) {
+void StateCache::apply_standard_page(Job& j, std::uint32_t n, const KeyUpdate& item) {
     const std::uint32_t first = n * standard_page_size_;
     if (first >= j.spec.tasks) return;
     auto tasks =
@@ -293,7 +294,7 @@
         if (!is_written(page_key(j, small))) set_page(j, small, tasks_in_frozen(j, small), {});
 }
 
-void Model::apply_small_page(Job& j, std::uint32_t n, const Item& item) {
+void StateCache::apply_small_page(Job& j, std::uint32_t n, const KeyUpdate& item) {
     // The record that tells the pages' size is still to come, and the watch brings this one again after it.
     if (j.small_page_size == 0) return forget_version(item.key);
     if (n >= pages_of(j)) return;
@@ -302,7 +303,7 @@
 }
 
 // What the frozen pages say of the tasks of a smaller page.
-std::vector<TaskState> Model::tasks_in_frozen(const Job& j, std::uint32_t page) const {
+std::vector<TaskState> StateCache::tasks_in_frozen(const Job& j, std::uint32_t page) const {
     std::vector<TaskState> tasks(tasks_in(j, page));
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         const std::size_t index = i + std::size_t{page} * j.small_page_size;
@@ -313,7 +314,7 @@
 }
 
 // No task changes by it: only the pages in which they stand do.
-void Model::freeze_pages(Job& j) const {
+void StateCache::freeze_pages(Job& j) const {
     j.frozen_pages = std::move(j.pages);
     j.pages.clear();
     if (j.frozen_pages.empty()) return;
@@ -325,7 +326,7 @@
     }
 }
 
-void Model::apply_format(const Item& item) {
+void StateCache::apply_format(const KeyUpdate& item) {
     if (!item.value || !item.value->is_object()) return;
     const auto format = item.value->find("format");
     if (format == item.value->end() || !format->is_number_unsigned()) return;
@@ -334,14 +335,14 @@
         format_level_ = std::max(format_level_, level);
     else
         known_formats_[NodeName(item.key.substr(4))] = level;
-    if (on_cluster) on_cluster();
+    if (on_membership_changed) on_membership_changed();
 }
 
-void Model::note_image(const MachineId& m, const wire::JobSpec& s, Revision at) {
+void StateCache::note_image(const MachineId& m, const wire::JobSpec& s, Revision at) {
     if (s.image.empty()) return;
     if (images_.size() >= most_image_holders && !images_.contains(m)) {
         // Bounded: machines that were taken away leave theirs behind.
-        const Revision old{at.v - std::min(at.v, at.v / 4)};
+        const Revision old{at.value() - std::min(at.value(), at.value() / 4)};
         std::erase_if(images_, [&](const auto& e) { return e.second.at < old; });
         if (images_.size() >= most_image_holders) images_.clear();
     }
@@ -353,19 +354,19 @@
     if (r.size() > most_images) r.pop_back();
 }
 
-bool Model::holds_image(const MachineId& m, const std::string& image, double cache_gb) const {
+bool StateCache::holds_image(const MachineId& m, const std::string& image, double cache_gb) const {
     bool found = false;
     each_image(m, cache_gb, [&](const std::string& name) { found = found || name == image; });
     return found;
 }
 
-void Model::set_page(Job& j, std::uint32_t n, std::vector<TaskState> tasks, Revision version) {
+void StateCache::set_page(Job& j, std::uint32_t n, std::vector<TaskState> tasks, Revision version) {
     Page& p = j.pages[n];
     j.placed -= p.placed;
     j.done -= p.done;
     for (std::size_t i = 0; i < std::max(p.tasks.size(), tasks.size()); ++i) {
-        const bool was = i < p.tasks.size() && p.tasks[i].at == TaskState::At::placed;
-        const bool is = i < tasks.size() && tasks[i].at == TaskState::At::placed;
+        const bool was = i < p.tasks.size() && p.tasks[i].status == TaskState::Status::placed;
+        const bool is = i < tasks.size() && tasks[i].status == TaskState::Status::placed;
         if (!was && !is) continue;
         if (was && is && p.tasks[i].machine == tasks[i].machine) continue;
         const TaskRef ref{j.spec.id, static_cast<TaskIndex>(i) + n * page_size(j)};
@@ -375,12 +376,12 @@
                 m->second.erase(ref);
                 if (m->second.empty()) by_machine_.erase(m);
             }
-            if (on_placed) on_placed(p.tasks[i].machine);
+            if (on_placement_changed) on_placement_changed(p.tasks[i].machine);
         }
         if (is) {
             by_machine_[tasks[i].machine].insert(ref);
             note_image(tasks[i].machine, j.spec, version);
-            if (on_placed) on_placed(tasks[i].machine);
+            if (on_placement_changed) on_placement_changed(tasks[i].machine);
         }
     }
     p.tasks = std::move(tasks);
@@ -388,7 +389,7 @@
     const auto before = static_cast<std::int64_t>(p.placed);
     p.count();
     if (const auto more = static_cast<std::int64_t>(p.placed) - before; more != 0) {
-        TeamUse& r = placed_by_team_[j.spec.team];
+        QuotaUsage& r = placed_by_team_[j.spec.team];
         r.cpu += more * j.spec.need.cpu;
         r.gpu += more * j.spec.need.gpu;
     }
@@ -396,4 +397,4 @@
     j.done += p.done;
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/store/model.h
+++ b/src/store/state_cache.h
@@ -14,56 +14,57 @@
 #include "base/types.h"
 #include "store/job.h"
 #include "store/keys.h"
-#include "store/store.h"
+#include "store/store_client.h"
 #include "wire/json_api.h"
 
-namespace zd {
+namespace zincdyke {
 
-struct Part {
-    NodeName owner;
+/// A share of the machines and the controller that leads it.
+struct Shard {
+    NodeName leader;
     Term term;
 };
-struct TeamUse {
+struct QuotaUsage {
     std::int64_t cpu = 0, gpu = 0;
 };
 
-class Model {
+class StateCache {
   public:
-    explicit Model(const Settings& settings);
+    explicit StateCache(const Settings& settings);
     // Takes over what was read under `key`; older than what is known: ignored.
-    void apply(const Item& item);
+    void apply(const KeyUpdate& item);
     void clear();
     // A job is known to be cancelled, though this node has not read it: a controller that told its user says
     // so. What is marked stays so, whatever older versions of the record come.
-    void call_off(const JobId& id);
+    void mark_cancelled(const JobId& id);
 
     const Job* job(const JobId& id) const;
     const std::unordered_map<JobId, Job>& jobs() const { return jobs_; }
     TaskState task(const TaskRef& t) const;
-    const std::set<TaskRef>& on_machine(const MachineId& m) const;
-    const std::unordered_map<MachineId, std::set<TaskRef>>& machines() const { return by_machine_; }
-    const std::vector<Part>& parts() const { return parts_; }
-    const std::map<NodeName, Revision>& nodes() const { return nodes_; }
+    const std::set<TaskRef>& tasks_on(const MachineId& m) const;
+    const std::unordered_map<MachineId, std::set<TaskRef>>& tasks_by_machine() const { return by_machine_; }
+    const std::vector<Shard>& shards() const { return shards_; }
+    const std::map<NodeName, Revision>& live_nodes() const { return live_nodes_; }
     // What a team's placed tasks take, by the pages read so far. Whether that is all: TeamLocks.
-    TeamUse team(const TeamName& t) const;
+    QuotaUsage quota_usage(const TeamName& t) const;
     // The controller that holds the lock on a limited team's starts; empty: none yet.
     const NodeName& team_lock_holder(const TeamName& t) const;
     // How often the model was emptied to be read anew.
     std::uint64_t generation() const { return generation_; }
-    const Team* team_settings(const TeamName& t) const;
-    const NodeName& supplier() const { return supplier_; }
-    Revision supplier_version() const { return version("z/s"); }
-    const std::vector<wire::MachineType>& types() const { return types_; }
-    const wire::MachineType* type(const std::string& name) const;
+    const Team* team_limits(const TeamName& t) const;
+    const NodeName& autoscaler_leader() const { return autoscaler_leader_; }
+    Revision autoscaler_leader_version() const { return version("z/s"); }
+    const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
+    const wire::MachineType* machine_type(const std::string& name) const;
     Revision version(const std::string& key) const;
 
     // The zone that a one-zone job's next start must be in. While none of its tasks is on a machine, by
     // proof, any will do: the commit of its first start names the zone, on condition that no page shows a
     // task placed.
-    std::optional<std::string> bound_zone(const Job& j) const {
+    std::optional<std::string> required_zone(const Job& j) const {
         const bool free =
             j.spec.one_zone && !j.spec.zone && j.placed == 0 && pages_named_for_zone(j) <= most_free_pages;
-        return free ? std::nullopt : j.pinned_zone;
+        return free ? std::nullopt : j.assigned_zone;
     }
     static constexpr std::size_t most_free_pages = 4;  // all are named in the commit's conditions
     std::size_t pages_named_for_zone(const Job& j) const {
@@ -112,26 +113,26 @@
     void forget_machine(const MachineId& m) { images_.erase(m); }
 
     // Machines are parted among the controllers by the hash of their names.
-    std::uint32_t part_of(const MachineId& m) const;
-    bool team_has_room(const TeamName& t, const Room& need, TaskIndex tasks) const;
+    std::uint32_t shard_of(const MachineId& m) const;
+    bool fits_team_quota(const TeamName& t, const Resources& need, TaskIndex tasks) const;
     // Pages whose job is over; their keys may be deleted.
-    const std::set<std::string>& orphans() const { return orphans_; }
+    const std::set<std::string>& orphaned_pages() const { return orphaned_pages_; }
 
-    std::function<void(const JobId&)> on_job;         // a job or one of its pages changed
-    std::function<void(const MachineId&)> on_placed;  // what is placed on a machine changed
-    std::function<void(const JobId&)> on_resized;     // a job's pages became smaller
-    std::function<void(const JobId&)> on_cancelled;   // a job became known to be cancelled
-    std::function<void()> on_jobs;                    // a job came or went
-    std::function<void()> on_cluster;                 // nodes, parts or supplier changed
-    bool work_waits() const;
-    Revision seen;  // everything up to this revision has been read
+    std::function<void(const JobId&)> on_job_changed;            // a job or one of its pages changed
+    std::function<void(const MachineId&)> on_placement_changed;  // what is placed on a machine changed
+    std::function<void(const JobId&)> on_pages_resized;          // a job's pages became smaller
+    std::function<void(const JobId&)> on_job_cancelled;          // a job became known to be cancelled
+    std::function<void()> on_jobs_changed;                       // a job came or went
+    std::function<void()> on_membership_changed;                 // nodes, parts or supplier changed
+    bool has_pending_tasks() const;
+    Revision applied_revision;  // everything up to this revision has been read
 
   private:
-    void apply_job(const JobId& id, const Item& item);
-    void apply_page(const Item& item);
-    void apply_standard_page(Job& j, std::uint32_t n, const Item& item);
-    void apply_small_page(Job& j, std::uint32_t n, const Item& item);
-    void apply_format(const Item& item);
+    void apply_job(const JobId& id, const KeyUpdate& item);
+    void apply_page(const KeyUpdate& item);
+    void apply_standard_page(Job& j, std::uint32_t n, const KeyUpdate& item);
+    void apply_small_page(Job& j, std::uint32_t n, const KeyUpdate& item);
+    void apply_format(const KeyUpdate& item);
     void forget_version(const std::string& key);
     void freeze_pages(Job& j) const;
     std::vector<TaskState> tasks_in_frozen(const Job& j, std::uint32_t page) const;
@@ -153,17 +154,17 @@
     std::unordered_map<std::string, Revision> versions_;  // of deleted keys too, until `seen` passes them
     std::unordered_map<std::string, bool> present_;
     std::unordered_map<JobId, Job> jobs_;
-    std::set<JobId> called_off_;  // not cleared: a list read just now may be older than a peer's word
+    std::set<JobId> known_cancelled_;  // not cleared: a list read just now may be older than a peer's word
     std::unordered_map<MachineId, std::set<TaskRef>> by_machine_;
     std::unordered_map<MachineId, Images> images_;
-    std::vector<Part> parts_;
-    std::map<NodeName, Revision> nodes_;
+    std::vector<Shard> shards_;
+    std::map<NodeName, Revision> live_nodes_;
     std::map<TeamName, NodeName> team_lock_holders_;
-    std::map<TeamName, TeamUse> placed_by_team_;
+    std::map<TeamName, QuotaUsage> placed_by_team_;
     std::uint64_t generation_ = 0;
-    NodeName supplier_;
-    std::vector<wire::MachineType> types_;
-    std::set<std::string> orphans_;
+    NodeName autoscaler_leader_;
+    std::vector<wire::MachineType> machine_types_;
+    std::set<std::string> orphaned_pages_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/store/store.cpp
+++ b/src/store/store_client.cpp
@@ -1,4 +1,4 @@
-#include "store/store.h"
+#include "store/store_client.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration normal_timeout = std::chrono::milliseconds(1500);
 constexpr Duration queue_limit = std::chrono::milliseconds(2500);
@@ -49,11 +49,11 @@
 }
 }  // namespace
 
-bool TokenBucket::has(Mono now, double n) {
+bool TokenBucket::has(SteadyTime now, double n) {
     if (!last_)
         tokens_ = rate_;
     else
-        tokens_ = std::min(rate_, tokens_ + rate_ * to_s(now - *last_));
+        tokens_ = std::min(rate_, tokens_ + rate_ * to_seconds(now - *last_));
     last_ = now;
     // A request larger than the whole bucket goes when the bucket is full, and leaves a debt.
     return tokens_ >= std::min(n, rate_) - 1e-9;
@@ -64,10 +64,10 @@
 }
 
 StoreClient::StoreClient(Env& env, const Settings& settings) : env_(env), settings_(settings) {
-    set_share(1.0 / settings.size, 1.0 / settings.size);
+    set_budget_share(1.0 / settings.size, 1.0 / settings.size);
 }
 
-void StoreClient::set_share(double requests, double writes) {
+void StoreClient::set_budget_share(double requests, double writes) {
     // A twentieth is left over: the clocks of the nodes and of the service differ.
     const double all = settings_.state_rps * requests * 0.95;
     requests_.set_rate(std::max(1.0, all * (1 - user_read_share)));
@@ -75,20 +75,20 @@
     writes_.set_rate(std::max(1.0, settings_.strictest_limits.write_rps * writes * 0.95));
 }
 
-std::size_t StoreClient::writes_free() {
-    Mono now = env_.now();
+std::size_t StoreClient::available_writes() {
+    SteadyTime now = env_.now();
     // A bucket too small for both still lets one commit of two writes go when it is full.
     if (!writes_.has(now, 2 + writes_kept) || !requests_.has(now, 1)) return 0;
     return static_cast<std::size_t>(std::max(2.0, writes_.tokens() - writes_kept));
 }
 
-Duration StoreClient::writes_free_in(std::size_t n) {
+Duration StoreClient::time_until_writes(std::size_t n) {
     return std::max(writes_.until(static_cast<double>(n) + writes_kept), requests_.until(1));
 }
 
 void StoreClient::count_writes(double n) {
-    const Mono now = env_.now();
-    recent_writes_ = recent_writes_ * std::exp(-to_s(now - counted_at_) / write_load_window_s) + n;
+    const SteadyTime now = env_.now();
+    recent_writes_ = recent_writes_ * std::exp(-to_seconds(now - counted_at_) / write_load_window_s) + n;
     counted_at_ = now;
 }
 
@@ -97,13 +97,13 @@
     return recent_writes_ / (writes_.rate() * write_load_window_s);
 }
 
-Duration StoreClient::lost_for() { return reachable() ? Duration(0) : env_.now() - lost_at_; }
+Duration StoreClient::unreachable_for() { return reachable() ? Duration(0) : env_.now() - lost_at_; }
 
-void StoreClient::submit(Urgency u, Request r) {
+void StoreClient::submit(RequestPriority u, Request r) {
     r.deadline = env_.now() + queue_limit;
     auto& q = queues_[static_cast<std::size_t>(u)];
     // While the service is away only the lease's renewal goes out, as a probe; the rest is told at once.
-    if ((!reachable() && u != Urgency::lease) || q.size() >= most_queued) {
+    if ((!reachable() && u != RequestPriority::lease) || q.size() >= most_queued) {
         ++counts_.shed;
         env_.after(Duration(0), [done = std::move(r.done)] { done({503, "", -1}); });
         return;
@@ -113,7 +113,7 @@
 }
 
 void StoreClient::pump() {
-    Mono now = env_.now();
+    SteadyTime now = env_.now();
     for (auto& q : queues_) {
         while (!q.empty()) {
             Request& r = q.front();
@@ -123,8 +123,8 @@
                 q.pop_front();
                 continue;
             }
-            const bool reserved = &q == &queues_[static_cast<std::size_t>(Urgency::user)] && r.writes == 0 &&
-                                  user_reads_.has(now, 1);
+            const bool reserved = &q == &queues_[static_cast<std::size_t>(RequestPriority::user)] &&
+                                  r.writes == 0 && user_reads_.has(now, 1);
             const bool one = reserved || requests_.has(now, 1),
                        two = r.writes == 0 || writes_.has(now, r.writes);
             if (!one || !two) {
@@ -172,7 +172,7 @@
               });
 }
 
-void StoreClient::get(const std::string& key, Urgency u, std::function<void(GetResult)> done) {
+void StoreClient::get(const std::string& key, RequestPriority u, std::function<void(GetResult)> done) {
     submit(u, {{"GET", "/store/" + key, ""},
                0,
                normal_timeout,
@@ -197,14 +197,14 @@
     std::string path = "/store?prefix=" + prefix + "&most=1000";
     if (!after.empty()) path += "&after=" + after;
     submit(
-        Urgency::lease,
+        RequestPriority::lease,
         {{"GET", path, ""}, 0, seconds(4), {}, [done = std::move(done)](const HttpResponse& h) {
              ListResult r;
              r.outcome = outcome_of(h.status);
              Json j = parsed(h, r.outcome);
              if (r.outcome == Outcome::ok) {
                  r.revision = revision_in(j, "epoch");
-                 r.more = j.value("has_next", false);
+                 r.has_more = j.value("has_next", false);
                  for (auto& e : j.value("items", Json::array()))
                      r.items.push_back({e.value("key", ""), std::move(e["value"]), revision_in(e, "stamp")});
              }
@@ -212,12 +212,12 @@
          }});
 }
 
-bool StoreClient::fits_operations(const Txn& txn) const {
+bool StoreClient::fits_operations(const Transaction& txn) const {
     const StateLimits& limits = settings_.strictest_limits;
     return txn.writes.size() <= limits.txn_ops && txn.conditions.size() <= limits.conditions();
 }
 
-bool StoreClient::fits(const Txn& txn) const {
+bool StoreClient::is_within_limits(const Transaction& txn) const {
     const std::size_t most = settings_.strictest_limits.value_bytes();
     return fits_operations(txn) && std::all_of(txn.writes.begin(), txn.writes.end(), [&](const Write& w) {
                return !w.value || w.value->dump().size() <= most;
@@ -225,7 +225,7 @@
 }
 
 // The service took a transaction for malformed. Where it went over its limits, the log names what did.
-void StoreClient::note_refused(const Txn& txn) {
+void StoreClient::note_refused(const Transaction& txn) {
     const StateLimits& limits = settings_.strictest_limits;
     if (!fits_operations(txn))
         log::error("event=commit_refused writes={} conditions={} limit={}", txn.writes.size(),
@@ -233,14 +233,14 @@
     for (const auto& write : txn.writes) {
         const std::size_t bytes = write.value ? write.value->dump().size() : 0;
         if (bytes <= limits.value_bytes()) continue;
-        refused_a_value_ = true;
+        has_rejected_value_ = true;
         log::error("event=value_refused key={} bytes={} limit={}", write.key, bytes, limits.value_bytes());
     }
 }
 
-void StoreClient::commit(const Txn& txn, Urgency u, std::function<void(CommitResult)> done) {
+void StoreClient::commit(const Transaction& txn, RequestPriority u, std::function<void(CommitResult)> done) {
     Json conditions = Json::array(), writes = Json::array();
-    for (const auto& c : txn.conditions) conditions.push_back({{"key", c.key}, {"stamp", c.version.v}});
+    for (const auto& c : txn.conditions) conditions.push_back({{"key", c.key}, {"stamp", c.version.value()}});
     for (const auto& w : txn.writes) {
         if (!w.value) {
             writes.push_back({{"delete", w.key}});
@@ -253,8 +253,9 @@
     std::string body = Json{{"if", std::move(conditions)}, {"writes", std::move(writes)}}.dump();
     const StateLimits& limits = settings_.strictest_limits;
     // Kept for the log, should it be refused for its size.
-    std::shared_ptr<const Txn> large;
-    if (body.size() > limits.value_bytes() || !fits_operations(txn)) large = std::make_shared<Txn>(txn);
+    std::shared_ptr<const Transaction> large;
+    if (body.size() > limits.value_bytes() || !fits_operations(txn))
+        large = std::make_shared<Transaction>(txn);
     submit(u, {{"POST", "/commit", std::move(body)},
                static_cast<double>(txn.writes.size()),
                normal_timeout,
@@ -278,7 +279,7 @@
 void StoreClient::watch(const std::string& prefix, Revision after, bool at_once,
                         std::function<void(ListResult)> done) {
     const Duration hold = at_once ? Duration(0) : watch_hold;
-    std::string path = "/watch?prefix=" + prefix + "&after=" + std::to_string(after.v) +
+    std::string path = "/watch?prefix=" + prefix + "&after=" + std::to_string(after.value()) +
                        "&hold_ms=" + std::to_string(hold.count() / 1000);
     // Sent past the queue: a watch waits on purpose, and its silence says nothing about the service.
     requests_.has(env_.now(), 1);
@@ -286,15 +287,15 @@
     ++counts_.watches;
     env_.http(settings_.state, {"GET", path, ""}, hold + (at_once ? normal_timeout : seconds(5)),
               [this, done = std::move(done)](const HttpResponse& h) {
-                  counts_.news_bytes += h.body.size();
+                  counts_.watch_bytes += h.body.size();
                   ListResult r;
                   r.outcome = outcome_of(h.status);
-                  r.too_old = h.status == 410;
+                  r.is_compacted = h.status == 410;
                   Json j = parsed(h, r.outcome);
                   if (r.outcome == Outcome::ok) {
                       r.revision = revision_in(j, "epoch");
                       for (auto& e : j.value("news", Json::array())) {
-                          Item i;
+                          KeyUpdate i;
                           i.version = revision_in(e, "stamp");
                           if (e.contains("set")) {
                               i.key = e.value("set", "");
@@ -309,26 +310,27 @@
               });
 }
 
-void StoreClient::grant(Duration life, std::function<void(Outcome, std::uint64_t)> done) {
-    submit(Urgency::lease, {{"POST", "/grants", Json{{"life_ms", life.count() / 1000}}.dump()},
-                            0,
-                            normal_timeout,
-                            {},
-                            [done = std::move(done)](const HttpResponse& h) {
-                                Outcome o = outcome_of(h.status);
-                                Json j = parsed(h, o);
-                                std::uint64_t id = revision_in(j, "tether").v;
-                                if (o == Outcome::ok && id == 0) o = Outcome::unknown;
-                                done(o, id);
-                            }});
+void StoreClient::grant_lease(Duration life, std::function<void(Outcome, std::uint64_t)> done) {
+    submit(RequestPriority::lease, {{"POST", "/grants", Json{{"life_ms", life.count() / 1000}}.dump()},
+                                    0,
+                                    normal_timeout,
+                                    {},
+                                    [done = std::move(done)](const HttpResponse& h) {
+                                        Outcome o = outcome_of(h.status);
+                                        Json j = parsed(h, o);
+                                        std::uint64_t id = revision_in(j, "tether").value();
+                                        if (o == Outcome::ok && id == 0) o = Outcome::unknown;
+                                        done(o, id);
+                                    }});
 }
 
-void StoreClient::touch(std::uint64_t grant, std::function<void(Outcome)> done) {
-    submit(Urgency::lease, {{"POST", "/grants/" + std::to_string(grant) + "/touch", ""},
-                            0,
-                            normal_timeout,
-                            {},
-                            [done = std::move(done)](const HttpResponse& h) { done(outcome_of(h.status)); }});
+void StoreClient::renew_lease(std::uint64_t grant, std::function<void(Outcome)> done) {
+    submit(RequestPriority::lease,
+           {{"POST", "/grants/" + std::to_string(grant) + "/touch", ""},
+            0,
+            normal_timeout,
+            {},
+            [done = std::move(done)](const HttpResponse& h) { done(outcome_of(h.status)); }});
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <limits>
 
-namespace zd::wire {
+namespace zincdyke::wire {
 namespace {
 
 // Amounts are rounded up for what is taken and down for what is there, so that sums never exceed a limit.
@@ -69,7 +69,7 @@
     if (!j.is_object()) throw Bad{"not an object"};
     JobSpec s;
     s.id = JobId(text(j, "uid", 64));
-    if (!valid_job_id(s.id.v)) throw Bad{"uid must look like job-000412"};
+    if (!valid_job_id(s.id.value())) throw Bad{"uid must look like job-000412"};
     s.job_class = text(j, "ilk");
     s.team = TeamName(text(j, "crew"));
     std::string shape = text(j, "shape");
@@ -143,8 +143,8 @@
     for (const auto& e : j["breeds"]) {
         MachineType t;
         t.name = text(e, "sku");
-        t.room = {milli_down(amount(e, "vcpus", true)), milli_down(amount(e, "gpus", true)),
-                  milli_down(amount(e, "ram_gb", true))};
+        t.capacity = {milli_down(amount(e, "vcpus", true)), milli_down(amount(e, "gpus", true)),
+                      milli_down(amount(e, "ram_gb", true))};
         t.cache_gb = amount(e, "local_gb", true);
         t.fetch_gb_per_s = std::max(0.001, amount(e, "fetch_gb_per_s", true));
         t.price = amount(e, "hourly", true);
@@ -179,9 +179,9 @@
 }
 
 Json spec_to_json(const JobSpec& s) {
-    Json j = {{"uid", s.id.v},
+    Json j = {{"uid", s.id.value()},
               {"ilk", s.job_class},
-              {"crew", s.team.v},
+              {"crew", s.team.value()},
               {"shape", shape_names[static_cast<int>(s.shape)]},
               {"rank", rank_names[static_cast<int>(s.rank)]},
               {"shards", s.tasks},
@@ -203,31 +203,31 @@
 }
 
 std::string job_answer(const JobId& id, Phase phase, std::int64_t done, std::int64_t running) {
-    Json j = {{"uid", id.v}, {"phase", phase_names[static_cast<int>(phase)]}};
+    Json j = {{"uid", id.value()}, {"phase", phase_names[static_cast<int>(phase)]}};
     if (done >= 0) j["done"] = done;
     if (running >= 0) j["running"] = running;
     return j.dump();
 }
 
-const char* cause_name(Cause c) { return cause_names[static_cast<int>(c)]; }
+const char* cause_name(ExitCause c) { return cause_names[static_cast<int>(c)]; }
 
-std::optional<Report> parse_report(std::string_view body) {
+std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
     return guarded(body, [](const Json& j) {
         if (!j.is_object()) throw Bad{"not an object"};
-        Report r;
+        Heartbeat r;
         r.machine = MachineId(text(j, "werf"));
         r.address = text(j, "address");
         r.type = text(j, "breed");
         r.zone = text(j, "field");
         r.spot = flag(j, "loaners");
-        r.age = {count(j, "tenure"), count(j, "tick")};
+        r.sequence = {count(j, "tenure"), count(j, "tick")};
         if (const Json* b = find(j, "baton")) {
             if (!b->is_number_unsigned()) throw Bad{"baton"};
-            r.token = Token::of(b->get<std::uint64_t>());
+            r.token = FencingToken::of(b->get<std::uint64_t>());
         }
         if (const Json* n = find(j, "warning_s")) r.notice_s = amount(*n, "warning_s");
         for (const auto& e : need(j, "shards")) {
-            ReportedTask t;
+            TaskStatus t;
             t.task = task_ref(text(e, "shard"));
             std::uint64_t attempt = count(e, "try");
             if (attempt > std::numeric_limits<Attempt>::max()) throw Bad{"try"};
@@ -238,7 +238,7 @@
             if (t.phase == TaskPhase::ended) {
                 // A cause added later to the protocol still means that the task is over, and not done.
                 int cause = find(e, "cause") != nullptr ? index_of(cause_names, text(e, "cause")) : -1;
-                t.cause = cause > 0 ? static_cast<Cause>(cause) : Cause::unknown;
+                t.cause = cause > 0 ? static_cast<ExitCause>(cause) : ExitCause::unknown;
                 const Json* kept = find(e, "kept");
                 t.saved = kept != nullptr && kept->is_boolean() && kept->get<bool>();
             }
@@ -248,12 +248,13 @@
     });
 }
 
-std::string orders_body(Token token, const std::vector<Order>& orders, std::optional<std::uint64_t> session) {
+std::string encode_commands(FencingToken token, const std::vector<Command>& orders,
+                            std::optional<std::uint64_t> session) {
     Json list = Json::array();
     for (const auto& o : orders) {
         Json e = {
-            {"verb", verb_names[static_cast<int>(o.verb)]}, {"shard", o.task.str()}, {"try", o.attempt}};
-        if (o.verb == Verb::halt) e["respite_s"] = o.grace_s;
+            {"verb", verb_names[static_cast<int>(o.kind)]}, {"shard", o.task.str()}, {"try", o.attempt}};
+        if (o.kind == CommandKind::stop) e["respite_s"] = o.grace_s;
         list.push_back(std::move(e));
     }
     Json j = {{"baton", token.value()}, {"orders", std::move(list)}};
@@ -261,8 +262,8 @@
     return j.dump();
 }
 
-std::string redirect_body(const std::optional<NodeName>& owner) {
-    return owner ? Json{{"foreman", owner->v}}.dump() : "{}";
+std::string encode_redirect(const std::optional<NodeName>& owner) {
+    return owner ? Json{{"foreman", owner->value()}}.dump() : "{}";
 }
 
 std::optional<std::vector<MachineType>> parse_types(std::string_view body) { return guarded(body, types_of); }
@@ -280,9 +281,9 @@
     Json list = Json::array();
     for (const auto& t : types)
         list.push_back({{"sku", t.name},
-                        {"vcpus", whole_gb(t.room.cpu)},
-                        {"gpus", whole_gb(t.room.gpu)},
-                        {"ram_gb", whole_gb(t.room.ram)},
+                        {"vcpus", whole_gb(t.capacity.cpu)},
+                        {"gpus", whole_gb(t.capacity.gpu)},
+                        {"ram_gb", whole_gb(t.capacity.ram)},
                         {"local_gb", t.cache_gb},
                         {"fetch_gb_per_s", t.fetch_gb_per_s},
                         {"hourly", t.price},
@@ -322,7 +323,7 @@
 
 std::string return_body(const std::vector<MachineId>& machines) {
     Json names = Json::array();
-    for (const auto& m : machines) names.push_back(m.v);
+    for (const auto& m : machines) names.push_back(m.value());
     return Json{{"werven", std::move(names)}}.dump();
 }
 
@@ -334,4 +335,4 @@
     });
 }
 
-}  // namespace zd::wire
+}  // namespace zincdyke::wire
--- a/src/wire/json_api.h
+++ b/src/wire/json_api.h
@@ -1,4 +1,5 @@
-// The JSON interfaces of users, workers, cloud and state service. Their odd field names stay in this package.
+/// The JSON interfaces of users, workers, cloud and key-value store. This package alone maps the field names
+/// of the protocol to the terms that the program uses.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -8,7 +9,7 @@
 
 #include "base/types.h"
 
-namespace zd::wire {
+namespace zincdyke::wire {
 using Json = nlohmann::json;
 
 // A service's tasks are independent like an array's, and run until the job is cancelled.
@@ -23,7 +24,7 @@
     Shape shape = Shape::array;
     Rank rank = Rank::standard;
     TaskIndex tasks = 1;
-    Room need;  // of each task
+    Resources need;  // of each task
     std::string image;
     double image_gb = 0;
     std::optional<std::vector<std::string>> types;  // nothing: any
@@ -44,59 +45,64 @@
 std::string job_answer(const JobId& id, Phase phase, std::int64_t done = -1, std::int64_t running = -1);
 
 enum class TaskPhase : std::uint8_t { fetching, waiting, running, saving, ended };
-enum class Cause : std::uint8_t { none, done, halted, peers, alone, error, no_room, busy, unknown };
-const char* cause_name(Cause c);
+enum class ExitCause : std::uint8_t { none, done, halted, peers, alone, error, no_room, busy, unknown };
+const char* cause_name(ExitCause c);
 
-struct ReportedTask {
+/// A task as its worker reports it.
+struct TaskStatus {
     TaskRef task;
     Attempt attempt = 0;
     TaskPhase phase = TaskPhase::fetching;
-    Cause cause = Cause::none;
+    ExitCause cause = ExitCause::none;
     bool saved = false;
 };
-// The fencing token of the protocol (`baton`): first the owner's term, then a count that the owner raises for
-// one machine to have it check in at once.
-struct Token {
+/// The fencing token (`baton` on the wire): first the leader's term, then a count that the leader raises for
+/// one machine to have it send a heartbeat at once.
+struct FencingToken {
     Term term;
     std::uint32_t count = 0;
     static constexpr int count_bits = 16;
-    static constexpr std::uint32_t most_count = (1U << count_bits) - 1;
-    std::uint64_t value() const { return term.v << count_bits | count; }
-    static Token of(std::uint64_t value) {
-        return {Term{value >> count_bits}, static_cast<std::uint32_t>(value & most_count)};
+    static constexpr std::uint32_t max_count = (1U << count_bits) - 1;
+    std::uint64_t value() const { return term.value() << count_bits | count; }
+    static FencingToken of(std::uint64_t value) {
+        return {Term{value >> count_bits}, static_cast<std::uint32_t>(value & max_count)};
     }
-    auto operator<=>(const Token&) const = default;
+    auto operator<=>(const FencingToken&) const = default;
 };
-// Orders the messages of one worker: the larger is the newer.
-struct ReportAge {
-    std::uint64_t session = 0, seq = 0;
-    auto operator<=>(const ReportAge&) const = default;
+/// Orders the messages of one worker: the larger is the newer. On the wire: `tenure`, `tick`. A worker begins
+/// a new epoch when its lease expires.
+struct HeartbeatSequence {
+    std::uint64_t agent_epoch = 0, number = 0;
+    auto operator<=>(const HeartbeatSequence&) const = default;
 };
-struct Report {
+/// A worker's heartbeat with its status; on the wire the body of `/checkin`.
+struct Heartbeat {
     MachineId machine;
     std::string address, type, zone;
     bool spot = false;
-    ReportAge age;
-    Token token;  // the highest that this worker has seen
+    HeartbeatSequence sequence;
+    FencingToken token;  // the highest that this worker has seen
     std::optional<double> notice_s;
-    std::vector<ReportedTask> tasks;
+    std::vector<TaskStatus> tasks;
 };
-std::optional<Report> parse_report(std::string_view body);
+std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
-enum class Verb : std::uint8_t { run, halt, clear };
-struct Order {
-    Verb verb = Verb::run;
+/// On the wire: `run`, `halt`, `clear`.
+enum class CommandKind : std::uint8_t { start, stop, forget };
+/// A command to a worker; `order` on the wire.
+struct Command {
+    CommandKind kind = CommandKind::start;
     TaskRef task;
     Attempt attempt = 0;
     double grace_s = 0;
 };
-std::string orders_body(Token token, const std::vector<Order>& orders,
-                        std::optional<std::uint64_t> session = {});
-std::string redirect_body(const std::optional<NodeName>& owner);
+std::string encode_commands(FencingToken token, const std::vector<Command>& orders,
+                            std::optional<std::uint64_t> agent_epoch = {});
+std::string encode_redirect(const std::optional<NodeName>& leader);
 
 struct MachineType {
     std::string name;
-    Room room;
+    Resources capacity;
     double cache_gb = 0, fetch_gb_per_s = 0.1, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
@@ -122,4 +128,4 @@
 std::string return_body(const std::vector<MachineId>& machines);
 std::optional<std::vector<MachineId>> parse_machine_names(std::string_view body);
 
-}  // namespace zd::wire
+}  // namespace zincdyke::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,8 +1,8 @@
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 #include <type_traits>
 
-namespace zd::wire {
+namespace zincdyke::wire {
 namespace {
 
 class Writer {
@@ -28,9 +28,9 @@
     }
     template <class Tag>
     void operator()(const Name<Tag>& n) {
-        (*this)(n.v);
+        (*this)(n.value());
     }
-    void operator()(const Room& r) {
+    void operator()(const Resources& r) {
         (*this)(r.cpu);
         (*this)(r.gpu);
         (*this)(r.ram);
@@ -87,9 +87,11 @@
     }
     template <class Tag>
     void operator()(Name<Tag>& n) {
-        (*this)(n.v);
+        std::string text;
+        (*this)(text);
+        n = Name<Tag>(std::move(text));
     }
-    void operator()(Room& r) {
+    void operator()(Resources& r) {
         (*this)(r.cpu);
         (*this)(r.gpu);
         (*this)(r.ram);
@@ -133,7 +135,7 @@
     a(m.incarnation);
 }
 
-template <class A, MaybeConst<MachineBeat> M>
+template <class A, MaybeConst<MachineStatus> M>
 void fields(A& a, M& m) {
     a(m.id);
     a(m.type);
@@ -142,38 +144,38 @@
     a(m.spot);
     a(m.usable);
     a(m.silent);
-    a(m.session);
+    a(m.agent_epoch);
     a(m.busy_tasks);
     a(m.idle_ms);
     a(m.silent_ms);
 }
 
-template <class A, MaybeConst<Vouch> M>
+template <class A, MaybeConst<CancellationAck> M>
 void fields(A& a, M& m) {
-    a(m.life);
-    a(m.stamp);
-    a(m.echo_life);
-    a(m.echo);
-    a(m.behind);
-    a(m.whole);
+    a(m.sender_epoch);
+    a(m.sent_stamp);
+    a(m.echoed_epoch);
+    a(m.echoed_stamp);
+    a(m.is_lagging);
+    a(m.is_complete);
     a(m.cancelled);
 }
 
-template <class A, MaybeConst<CalledOff> M>
+template <class A, MaybeConst<JobCancelledNotification> M>
 void fields(A& a, M& m) {
     a(m.job);
 }
 
-template <class A, MaybeConst<Beat> M>
+template <class A, MaybeConst<PeerHeartbeat> M>
 void fields(A& a, M& m) {
-    a(m.vouch);
-    a(m.store_ok);
-    a(m.seen);
+    a(m.cancellation_ack);
+    a(m.store_reachable);
+    a(m.applied_revision);
     a(m.write_demand);
     a(m.machines);
 }
 
-template <class A, MaybeConst<Ask> M>
+template <class A, MaybeConst<PlacementRequest> M>
 void fields(A& a, M& m) {
     a(m.round);
     a(m.job);
@@ -185,20 +187,20 @@
     a(m.tasks);
 }
 
-template <class A, MaybeConst<Offer> M>
+template <class A, MaybeConst<PlacementOffer> M>
 void fields(A& a, M& m) {
     a(m.machine);
     a(m.zone);
     a(m.score);
 }
 
-template <class A, MaybeConst<Offers> M>
+template <class A, MaybeConst<PlacementResponse> M>
 void fields(A& a, M& m) {
     a(m.round);
     a(m.job);
     a(m.scorer);
     a(m.scorers);
-    a(m.whole);
+    a(m.is_gang);
     a(m.tasks);
     a(m.offers);
 }
@@ -209,26 +211,26 @@
     a(m.machine);
 }
 
-template <class A, MaybeConst<Verdict> M>
+template <class A, MaybeConst<PlacementDecision> M>
 void fields(A& a, M& m) {
     a(m.round);
     a(m.job);
-    a(m.yes);
+    a(m.accepted);
 }
 
-template <class A, MaybeConst<Unplaced> M>
+template <class A, MaybeConst<PlacementFailure> M>
 void fields(A& a, M& m) {
     a(m.round);
     a(m.job);
     a(m.tasks);
 }
 
-template <class A, MaybeConst<Drain> M>
+template <class A, MaybeConst<DrainRequest> M>
 void fields(A& a, M& m) {
     a(m.machine);
 }
 
-template <class A, MaybeConst<Drained> M>
+template <class A, MaybeConst<DrainResponse> M>
 void fields(A& a, M& m) {
     a(m.machine);
 }
@@ -242,14 +244,14 @@
     a(m.job);
 }
 
-template <class A, MaybeConst<Preempt> M>
+template <class A, MaybeConst<PreemptionRequest> M>
 void fields(A& a, M& m) {
     a(m.job);
     a(m.task);
     a(m.attempt);
 }
 
-template <class A, MaybeConst<TaskOp> M>
+template <class A, MaybeConst<TaskOperation> M>
 void fields(A& a, M& m) {
     a(m.event);
     a(m.task);
@@ -257,58 +259,58 @@
     a(m.machine);
     a(m.zone);
     a(m.term);
-    a(m.ticket);
+    a(m.request_id);
 }
 
-template <class A, MaybeConst<Settle> M>
+template <class A, MaybeConst<CommitRequest> M>
 void fields(A& a, M& m) {
     a(m.job);
-    a(m.ops);
+    a(m.operations);
 }
 
-template <class A, MaybeConst<SettledOp> M>
+template <class A, MaybeConst<OperationResult> M>
 void fields(A& a, M& m) {
-    a(m.ticket);
-    a(m.done);
+    a(m.request_id);
+    a(m.is_committed);
 }
 
-template <class A, MaybeConst<Record> M>
+template <class A, MaybeConst<StoredRecord> M>
 void fields(A& a, M& m) {
     a(m.key);
     a(m.value);
     a(m.version);
 }
 
-template <class A, MaybeConst<Settled> M>
+template <class A, MaybeConst<CommitResponse> M>
 void fields(A& a, M& m) {
-    a(m.ops);
+    a(m.results);
     a(m.records);
 }
 
-template <class A, MaybeConst<Freed> M>
+template <class A, MaybeConst<CapacityFreedNotification> M>
 void fields(A& a, M& m) {
     a(m.type);
-    a(m.room);
+    a(m.free);
 }
 
-template <class A, MaybeConst<SightedMachine> M>
+template <class A, MaybeConst<DiscoveredMachine> M>
 void fields(A& a, M& m) {
     a(m.id);
     a(m.address);
 }
 
-template <class A, MaybeConst<Reserve> M>
+template <class A, MaybeConst<ReservationUpdate> M>
 void fields(A& a, M& m) {
-    a(m.first);
+    a(m.is_first);
     a(m.machines);
 }
 
-template <class A, MaybeConst<Sighted> M>
+template <class A, MaybeConst<MachinesDiscoveredNotification> M>
 void fields(A& a, M& m) {
     a(m.machines);
 }
 
-template <class A, MaybeConst<Gone> M>
+template <class A, MaybeConst<MachinesTerminatedNotification> M>
 void fields(A& a, M& m) {
     a(m.machines);
 }
@@ -331,7 +333,7 @@
 
 std::string encode(const PeerMessage& m) {
     Writer body;
-    body(peer_version);
+    body(peer_protocol_version);
     body(static_cast<std::uint8_t>(m.index()));
     std::visit([&](const auto& v) { body(v); }, m);
     Writer frame;
@@ -345,8 +347,8 @@
     std::uint8_t version = 0, kind = 0;
     r(version);
     r(kind);
-    if (!r.ok || version != peer_version) return std::nullopt;
+    if (!r.ok || version != peer_protocol_version) return std::nullopt;
     return decode_kind(kind, r);
 }
 
-}  // namespace zd::wire
+}  // namespace zincdyke::wire
--- a/src/fleet/start_times.cpp
+++ b/src/workers/start_times.cpp
@@ -1,8 +1,8 @@
-#include "fleet/start_times.h"
+#include "workers/start_times.h"
 
 #include <algorithm>
 
-namespace zd {
+namespace zincdyke {
 
 const char* step_name(StartStep step) {
     switch (step) {
@@ -20,7 +20,7 @@
     return "";
 }
 
-Duration step_time(const StartProgress& progress, StartStep step, Mono running) {
+Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running) {
     switch (step) {
         case StartStep::queue:
             return progress.queued;
@@ -36,14 +36,14 @@
     return {};
 }
 
-void StartTimes::add(const std::string& job_class, const StartProgress& progress, Mono running) {
+void StartTimes::add(const std::string& job_class, const StartProgress& progress, SteadyTime running) {
     if (by_class_.size() >= most_classes && !by_class_.contains(job_class)) return;
     Steps& steps = by_class_[job_class];
     for (std::size_t i = 0; i < start_steps; ++i) {
-        const double took = to_s(step_time(progress, static_cast<StartStep>(i), running));
+        const double took = to_seconds(step_time(progress, static_cast<StartStep>(i), running));
         const auto bucket = std::lower_bound(bounds_s.begin(), bounds_s.end(), took) - bounds_s.begin();
         ++steps[i][static_cast<std::size_t>(bucket)];
     }
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/fleet/start_times.h
+++ b/src/workers/start_times.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace zd {
+namespace zincdyke {
 
 // The steps that a start passes through, in this order.
 enum class StartStep : std::uint8_t {
@@ -23,11 +23,11 @@
 // When one start passed its steps, on this node's steady clock.
 struct StartProgress {
     Duration queued{};
-    Mono assigned{}, committed{}, ordered{}, image_ready{};
+    SteadyTime assigned{}, committed{}, ordered{}, image_ready{};
 };
 
 // How long a step took.
-Duration step_time(const StartProgress& progress, StartStep step, Mono running);
+Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running);
 
 // Counts of starts by how long each step took.
 class StartTimes {
@@ -36,7 +36,7 @@
                                                     5,   10, 30};  // the last bucket has no upper bound
     using Histogram = std::array<std::uint64_t, bounds_s.size() + 1>;
     using Steps = std::array<Histogram, start_steps>;
-    void add(const std::string& job_class, const StartProgress& progress, Mono running);
+    void add(const std::string& job_class, const StartProgress& progress, SteadyTime running);
     const std::map<std::string, Steps>& by_class() const { return by_class_; }
 
   private:
@@ -44,4 +44,4 @@
     std::map<std::string, Steps> by_class_;
 };
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/src/fleet/fleet.cpp
+++ b/src/workers/worker_manager.cpp
@@ -1,10 +1,10 @@
-#include "fleet/fleet.h"
+#include "workers/worker_manager.h"
 
 #include <algorithm>
 
 #include "base/log.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 constexpr Duration hold_limit = std::chrono::milliseconds(2500);
 constexpr Duration hold_answer = std::chrono::milliseconds(700);  // well below the 4 s that a worker waits
@@ -26,50 +26,53 @@
 Duration surely_lapsed(double lease_s) { return seconds(lease_s * 1.002) + millis(100); }
 }  // namespace
 
-Fleet::Fleet(Env& env, const Settings& settings, Model& model, Cluster& cluster, const Horizon& horizon,
-             Ledger& ledger, SendPeer send)
+WorkerManager::WorkerManager(Env& env, const Settings& settings, StateCache& model,
+                             ClusterCoordinator& cluster, const CancellationWatermark& horizon,
+                             TaskCommitter& ledger, SendPeer send)
     : env_(env),
       settings_(settings),
-      model_(model),
+      state_cache_(model),
       cluster_(cluster),
-      horizon_(horizon),
-      ledger_(ledger),
+      cancellation_watermark_(horizon),
+      committer_(ledger),
       send_(std::move(send)) {}
 
-void Fleet::start() { sweep(); }
+void WorkerManager::start() { sweep(); }
 
-void Fleet::check_in(const wire::Report& r, const Reply& reply) {
-    auto mine = cluster_.synced() ? cluster_.term_of(r.machine) : std::nullopt;
+void WorkerManager::handle_heartbeat(const wire::Heartbeat& r, const Reply& reply) {
+    auto mine = cluster_.is_synced() ? cluster_.leader_term(r.machine) : std::nullopt;
     if (!mine || r.token.term > *mine) {
         // Not entitled: a 200 here would hold the worker while its lease runs out.
-        std::optional<NodeName> owner = cluster_.synced() ? cluster_.owner_of(r.machine) : std::nullopt;
-        return reply({421, wire::redirect_body(owner), -1});
+        std::optional<NodeName> owner = cluster_.is_synced() ? cluster_.leader_of(r.machine) : std::nullopt;
+        return reply({421, wire::encode_redirect(owner), -1});
     }
     if (!machines_.contains(r.machine) && machines_.size() >= most_machines) return reply({503, "{}", 1});
     // Copies of reports come late, up to well over a lease: what is older than we know, of a session that
     // surely lapsed or of a returned machine renews nothing, proves nothing and revives nothing, and gets no
     // orders.
     auto known = machines_.find(r.machine);
-    const bool stale = gone_.contains(r.machine) ||
-                       (known != machines_.end() &&
-                        (r.age <= known->second.age || known->second.over(r.age.session, *mine)));
-    ++counts_.check_ins;
-    if (stale) {
-        ++counts_.stale;
+    const bool stale_heartbeats =
+        gone_.contains(r.machine) ||
+        (known != machines_.end() &&
+         (r.sequence <= known->second.sequence || known->second.over(r.sequence.agent_epoch, *mine)));
+    ++counts_.heartbeats;
+    if (stale_heartbeats) {
+        ++counts_.stale_heartbeats;
         return renew(r, *mine, halts_of_cancelled(r), reply);
     }
     Machine& m = machines_[r.machine];
-    if (m.first_known == Mono{}) m.first_known = env_.now();
+    if (m.first_known == SteadyTime{}) m.first_known = env_.now();
     // Nothing of this session came for longer than a lease: what comes now was held on its way, or its sender
     // was told our term by others' means. Either way this one report does not prove that it hears us; the
     // next does.
-    const bool overdue = m.term_of_proof == *mine && m.reported && r.age.session == m.age.session &&
+    const bool overdue = m.term_of_proof == *mine && m.reported &&
+                         r.sequence.agent_epoch == m.sequence.agent_epoch &&
                          env_.now() - m.last_heard > surely_lapsed(settings_.lease_s);
     m.last_heard = env_.now();
-    hearing_[model_.part_of(r.machine)].heard = env_.now();
+    hearing_[state_cache_.shard_of(r.machine)].heard = env_.now();
     log::debug("event=check_in machine={} session={} seq={} shown={} term={} hears={} answered={} at={:.3f}",
-               r.machine.v, r.age.session, r.age.seq, r.token.term.v, mine->v, m.hears, m.answered_seq,
-               to_s(env_.now().time_since_epoch()));
+               r.machine.value(), r.sequence.agent_epoch, r.sequence.number, r.token.term.value(),
+               mine->value(), m.hears, m.answered_seq, to_seconds(env_.now().time_since_epoch()));
     // An older check-in still held: its worker has moved on, and no order in its answer would be executed.
     if (auto old = held_.find(r.machine); old != held_.end()) {
         env_.cancel(old->second.timer);
@@ -81,7 +84,7 @@
     take_report(m, r, *mine, true);
     if (overdue) m.hears = false;
     auto orders = orders_for(r.machine, m, r, *mine);
-    m.answered_seq = r.age.seq;
+    m.answered_seq = r.sequence.number;
     if (!m.ended.empty() || r.tasks.empty()) tell_freed(r.machine, m);
     if (!orders.empty() || !worth_waiting(r.machine, m, r)) return renew(r, *mine, orders, reply);
     // What it reports (an end, or room) will bring orders in a moment, and its next check-in is a report
@@ -89,8 +92,8 @@
     held_[r.machine] = {r, reply, env_.after(hold_answer, [this, id = r.machine] { answer(id); })};
 }
 
-bool Fleet::worth_waiting(const MachineId& id, const Machine& m, const wire::Report& r) const {
-    if (r.notice_s || !usable(id, m) || !model_.work_waits()) return false;
+bool WorkerManager::worth_waiting(const MachineId& id, const Machine& m, const wire::Heartbeat& r) const {
+    if (r.notice_s || !usable(id, m) || !state_cache_.has_pending_tasks()) return false;
     if (std::any_of(r.tasks.begin(), r.tasks.end(),
                     [](const auto& t) { return t.phase == wire::TaskPhase::ended; }))
         return true;
@@ -98,18 +101,18 @@
 }
 
 // Gives a held check-in its answer, with the orders as they stand now.
-void Fleet::answer(const MachineId& id) {
+void WorkerManager::answer(const MachineId& id) {
     auto it = held_.find(id);
     if (it == held_.end()) return;
     Held h = std::move(it->second);
     held_.erase(it);
     env_.cancel(h.timer);
-    auto mine = cluster_.term_of(id);
+    auto mine = cluster_.leader_term(id);
     auto m = machines_.find(id);
     if (!mine || m == machines_.end() || h.report.token.term > *mine) return h.reply({421, "{}", -1});
-    std::vector<wire::Order> orders;
+    std::vector<wire::Command> orders;
     // A newer message, by direct command, may have come meanwhile: then this report's news is old.
-    if (h.report.age == m->second.age)
+    if (h.report.sequence == m->second.sequence)
         orders = orders_for(id, m->second, h.report, *mine);
     else
         orders = halts_of_cancelled(h.report);
@@ -120,62 +123,62 @@
 // cancelled; and where a cancellation may have been told for so long that a lease renewed now would outlast
 // `cancel_s`, there is none: the worker tries the others, and its lease runs out. Refused by the state
 // service alone, an owner went on renewing the leases of tasks whose cancellation it never heard of.
-void Fleet::renew(const wire::Report& r, Term mine, const std::vector<wire::Order>& orders,
-                  const Reply& reply) {
-    if (!horizon_.may_renew()) {
-        ++counts_.not_renewed;
-        log::debug("event=lease_not_renewed machine={}", r.machine.v);
+void WorkerManager::renew(const wire::Heartbeat& r, Term mine, const std::vector<wire::Command>& orders,
+                          const Reply& reply) {
+    if (!cancellation_watermark_.may_renew_leases()) {
+        ++counts_.leases_not_renewed;
+        log::debug("event=lease_not_renewed machine={}", r.machine.value());
         return reply({503, "{}", 1});
     }
-    reply({200, wire::orders_body(token_for(r.machine, mine), orders), -1});
+    reply({200, wire::encode_commands(token_for(r.machine, mine), orders), -1});
 }
 
-std::vector<wire::Order> Fleet::halts_of_cancelled(const wire::Report& r) const {
-    std::vector<wire::Order> orders;
+std::vector<wire::Command> WorkerManager::halts_of_cancelled(const wire::Heartbeat& r) const {
+    std::vector<wire::Command> orders;
     for (const auto& t : r.tasks)
-        if (const Job* j = model_.job(t.task.job);
+        if (const Job* j = state_cache_.job(t.task.job);
             j != nullptr && j->cancelled && t.phase != wire::TaskPhase::ended)
-            orders.push_back({wire::Verb::halt, t.task, t.attempt, 0});
+            orders.push_back({wire::CommandKind::stop, t.task, t.attempt, 0});
     return orders;
 }
 
-void Fleet::on_cancelled(const JobId& id) {
-    const Job* j = model_.job(id);
+void WorkerManager::on_job_cancelled(const JobId& id) {
+    const Job* j = state_cache_.job(id);
     if (j == nullptr) return;
     for (const auto& [n, page] : j->pages)
         for (std::size_t i = 0; i < page.tasks.size(); ++i) {
             const TaskState& t = page.tasks[i];
-            if (t.at != TaskState::At::placed || !machines_.contains(t.machine) ||
-                !cluster_.term_of(t.machine))
+            if (t.status != TaskState::Status::placed || !machines_.contains(t.machine) ||
+                !cluster_.leader_term(t.machine))
                 continue;
-            const TaskRef ref{id, static_cast<TaskIndex>(i) + n * model_.page_size(*j)};
-            halts_[t.machine].push_back({wire::Verb::halt, ref, t.attempt, 0});
+            const TaskRef ref{id, static_cast<TaskIndex>(i) + n * state_cache_.page_size(*j)};
+            halts_[t.machine].push_back({wire::CommandKind::stop, ref, t.attempt, 0});
         }
     send_halts();
 }
 
 // A halt of a cancelled task is right whenever it arrives; the answers to check-ins repeat it until it is
 // heeded.
-void Fleet::send_halts() {
+void WorkerManager::send_halts() {
     while (!halts_.empty() && halting_ < most_announcements) {
         const auto [id, orders] = std::move(*halts_.begin());
         halts_.erase(halts_.begin());
         auto m = machines_.find(id);
-        const auto mine = cluster_.term_of(id);
+        const auto mine = cluster_.leader_term(id);
         if (!mine || m == machines_.end() || m->second.address.empty()) continue;
         ++halting_;
-        env_.http(
-            m->second.address,
-            {"POST", "/commands", wire::orders_body(token_for(id, *mine), orders, m->second.age.session)},
-            seconds(2), [this](const HttpResponse&) {
-                --halting_;
-                send_halts();
-            });
+        env_.http(m->second.address,
+                  {"POST", "/commands",
+                   wire::encode_commands(token_for(id, *mine), orders, m->second.sequence.agent_epoch)},
+                  seconds(2), [this](const HttpResponse&) {
+                      --halting_;
+                      send_halts();
+                  });
     }
 }
 
-void Fleet::take_report(Machine& m, const wire::Report& r, Term mine, bool checkin) {
-    Mono now = env_.now();
+void WorkerManager::take_report(Machine& m, const wire::Heartbeat& r, Term mine, bool checkin) {
+    SteadyTime now = env_.now();
     if (m.term_of_proof != mine) {
         m.term_of_proof = mine;
         m.term_shown = m.reported = m.hears = false;
@@ -184,14 +187,14 @@
     }
     if (r.token.term == mine) m.token_count = std::max(m.token_count, r.token.count);
     // A new session begins when no answer arrived for a lease, however many we wrote.
-    if (r.age.session > m.age.session) {
+    if (r.sequence.agent_epoch > m.sequence.agent_epoch) {
         m.hears = false;
         m.answered_seq = 0;
     }
     if (r.token.term == mine && !m.term_shown) m.hears = true;
-    if (checkin && m.answered_seq > 0 && r.age.seq == m.answered_seq + 1) m.hears = true;
+    if (checkin && m.answered_seq > 0 && r.sequence.number == m.answered_seq + 1) m.hears = true;
     if (checkin && m.hears) m.last_good = now;
-    m.age = r.age;
+    m.sequence = r.sequence;
     m.type = r.type;
     m.zone = r.zone;
     m.spot = r.spot;
@@ -199,7 +202,7 @@
     if (r.token.term == mine) m.term_shown = true;
     if (checkin) m.reported = true;
     if (r.notice_s && !m.notice_s)
-        log::info("event=spot_notice machine={} seconds={:.1f} tasks={}", r.machine.v, *r.notice_s,
+        log::info("event=spot_notice machine={} seconds={:.1f} tasks={}", r.machine.value(), *r.notice_s,
                   r.tasks.size());
     m.notice_s = r.notice_s;
     m.notice_at = now;
@@ -220,16 +223,16 @@
     }
 }
 
-std::vector<wire::Order> Fleet::orders_for(const MachineId& id, Machine& m, const wire::Report& r,
-                                           Term mine) {
-    std::vector<wire::Order> orders;
+std::vector<wire::Command> WorkerManager::orders_for(const MachineId& id, Machine& m,
+                                                     const wire::Heartbeat& r, Term mine) {
+    std::vector<wire::Command> orders;
     std::set<TaskRef> mentioned;
     for (const auto& t : r.tasks) {
         // No start of a task here while another attempt of it is still around.
         if (t.phase != wire::TaskPhase::ended || placed_on(id, t)) mentioned.insert(t.task);
         if (const auto order = order_for_reported(id, m, r, t, mine)) orders.push_back(*order);
     }
-    for (const auto& ref : std::set<TaskRef>(model_.on_machine(id))) {
+    for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id))) {
         if (mentioned.contains(ref)) continue;
         if (const auto order = order_for_absent(id, m, r, ref, mine)) orders.push_back(*order);
     }
@@ -237,36 +240,38 @@
     return orders;
 }
 
-bool Fleet::placed_on(const MachineId& id, const wire::ReportedTask& t) const {
-    const TaskState s = model_.task(t.task);
-    return model_.job(t.task.job) != nullptr && s.at == TaskState::At::placed && s.machine == id &&
-           s.attempt == t.attempt;
+bool WorkerManager::placed_on(const MachineId& id, const wire::TaskStatus& t) const {
+    const TaskState s = state_cache_.task(t.task);
+    return state_cache_.job(t.task.job) != nullptr && s.status == TaskState::Status::placed &&
+           s.machine == id && s.attempt == t.attempt;
 }
 
-std::optional<wire::Order> Fleet::order_for_reported(const MachineId& id, Machine& m, const wire::Report& r,
-                                                     const wire::ReportedTask& t, Term mine) {
-    const Job* job = model_.job(t.task.job);
+std::optional<wire::Command> WorkerManager::order_for_reported(const MachineId& id, Machine& m,
+                                                               const wire::Heartbeat& r,
+                                                               const wire::TaskStatus& t, Term mine) {
+    const Job* job = state_cache_.job(t.task.job);
     const bool placed_here = placed_on(id, t);
     if (placed_here) {
         Told& told = m.told[{t.task, t.attempt}];
-        told.session = r.age.session;
+        told.session = r.sequence.agent_epoch;
         told.seen = true;
         note_phase(id, m, t, *job);
     }
     if (t.phase == wire::TaskPhase::ended) {
         // Its end is committed already, or it was never ours to count.
-        if (!placed_here) return wire::Order{wire::Verb::clear, t.task, t.attempt, 0};
+        if (!placed_here) return wire::Command{wire::CommandKind::forget, t.task, t.attempt, 0};
         take_end(id, m, r, t, mine);
         return std::nullopt;
     }
-    const wire::Order halt_at_once{wire::Verb::halt, t.task, t.attempt, 0};
+    const wire::Command halt_at_once{wire::CommandKind::stop, t.task, t.attempt, 0};
     if (!placed_here) {
-        log::info("event=stray_halted task={} attempt={} machine={}", t.task.str(), t.attempt, id.v);
+        log::info("event=stray_halted task={} attempt={} machine={}", t.task.str(), t.attempt, id.value());
         return halt_at_once;
     }
     if (job->cancelled || (job->spec.shape == wire::Shape::gang && sched::gang_state(*job).failed))
         return halt_at_once;
-    const wire::Order halt_with_grace{wire::Verb::halt, t.task, t.attempt, job->spec.save_s + save_margin_s};
+    const wire::Command halt_with_grace{wire::CommandKind::stop, t.task, t.attempt,
+                                        job->spec.save_s + save_margin_s};
     if (stops_.contains({t.task, t.attempt})) {
         if (t.phase == wire::TaskPhase::saving) return std::nullopt;
         return halt_with_grace;
@@ -281,95 +286,98 @@
 }
 
 // The end of an attempt that is placed here.
-void Fleet::take_end(const MachineId& id, Machine& m, const wire::Report& r, const wire::ReportedTask& t,
-                     Term mine) {
-    const Job& job = *model_.job(t.task.job);
+void WorkerManager::take_end(const MachineId& id, Machine& m, const wire::Heartbeat& r,
+                             const wire::TaskStatus& t, Term mine) {
+    const Job& job = *state_cache_.job(t.task.job);
     const bool is_service = job.spec.is_service();
-    if (t.cause == wire::Cause::done && !is_service) {
+    if (t.cause == wire::ExitCause::done && !is_service) {
         m.errors = 0;
-        ledger_.finish(t.task, t.attempt, id);
+        committer_.commit_completion(t.task, t.attempt, id);
         return;
     }
     // A failed end is believed only of a report that shows our term. A copy of an older one may be late, and
     // since then the same attempt may have been ordered again in a new session.
     if (r.token.term != mine) return;
-    if (t.cause == wire::Cause::error) note_error(id, m, job);
-    if (t.cause == wire::Cause::no_room || t.cause == wire::Cause::unknown)
+    if (t.cause == wire::ExitCause::error) note_error(id, m, job);
+    if (t.cause == wire::ExitCause::no_room || t.cause == wire::ExitCause::unknown)
         m.blocked_until = std::max(m.blocked_until, env_.now() + seconds(3));
-    ledger_.release(t.task, t.attempt, id, wire::cause_name(t.cause));
+    committer_.commit_release(t.task, t.attempt, id, wire::cause_name(t.cause));
 }
 
 // What is placed here and not in the report: to be ordered to run, or, by proof, over.
-std::optional<wire::Order> Fleet::order_for_absent(const MachineId& id, Machine& m, const wire::Report& r,
-                                                   const TaskRef& ref, Term mine) {
-    const TaskState s = model_.task(ref);
-    const Job* job = model_.job(ref.job);
+std::optional<wire::Command> WorkerManager::order_for_absent(const MachineId& id, Machine& m,
+                                                             const wire::Heartbeat& r, const TaskRef& ref,
+                                                             Term mine) {
+    const TaskState s = state_cache_.task(ref);
+    const Job* job = state_cache_.job(ref.job);
     // Judged to be over, only not committed yet (the state service may be away): a worker back in a new
     // session must not be told to start it again, or it would run while its successor is started elsewhere.
-    if (job == nullptr || ledger_.ending(ref, s.attempt)) return std::nullopt;
+    if (job == nullptr || committer_.has_pending_end(ref, s.attempt)) return std::nullopt;
     const auto told = m.told.find({ref, s.attempt});
     const bool ordered = told != m.told.end();
     const bool was_here = ordered && told->second.seen;
     // The lease it was ordered or seen under is over, or answer after answer with it was lost.
     const bool never_took =
-        ordered && !was_here && (told->second.session < r.age.session || told->second.answers >= most_orders);
+        ordered && !was_here &&
+        (told->second.session < r.sequence.agent_epoch || told->second.answers >= most_orders);
     const bool unwanted = job->cancelled || was_here || never_took || r.notice_s ||
                           (job->spec.shape == wire::Shape::gang && sched::gang_state(*job).failed);
     if (unwanted) {
         // Absent from a check-in that shows our term: no order of an earlier owner counts any more, and those
         // in answers of ours to earlier check-ins were executed or dropped before this one was sent.
         const char* why = was_here ? "vanished" : never_took ? "not_taken" : "not_started";
-        if (r.token.term == mine) ledger_.release(ref, s.attempt, id, why);
+        if (r.token.term == mine) committer_.commit_release(ref, s.attempt, id, why);
         return std::nullopt;
     }
     if (ordered && m.hears) {
-        log::info("event=run_unheeded task={} attempt={} machine={} answers={}", ref.str(), s.attempt, id.v,
-                  told->second.answers);
+        log::info("event=run_unheeded task={} attempt={} machine={} answers={}", ref.str(), s.attempt,
+                  id.value(), told->second.answers);
         m.hears = false;
     }
     // Without the state service nothing is started: the job may be cancelled and the part another's by now.
-    if (!cluster_.in_touch()) return std::nullopt;
+    if (!cluster_.is_up_to_date()) return std::nullopt;
     Told& order = m.told[{ref, s.attempt}];
-    order.session = r.age.session;
+    order.session = r.sequence.agent_epoch;
     ++order.answers;
     const auto start = m.starts.find({ref, s.attempt});
-    if (start != m.starts.end() && start->second.ordered == Mono{}) start->second.ordered = env_.now();
-    return wire::Order{wire::Verb::run, ref, s.attempt, 0};
+    if (start != m.starts.end() && start->second.ordered == SteadyTime{}) start->second.ordered = env_.now();
+    return wire::Command{wire::CommandKind::start, ref, s.attempt, 0};
 }
 
-void Fleet::forget_past_attempts(const MachineId& id, Machine& m) {
+void WorkerManager::forget_past_attempts(const MachineId& id, Machine& m) {
     const auto is_over = [&](const auto& entry) {
-        const TaskState s = model_.task(entry.first.first);
-        return s.at != TaskState::At::placed || s.machine != id || s.attempt != entry.first.second;
+        const TaskState s = state_cache_.task(entry.first.first);
+        return s.status != TaskState::Status::placed || s.machine != id || s.attempt != entry.first.second;
     };
-    const std::size_t many = 2 * model_.on_machine(id).size() + 32;
+    const std::size_t many = 2 * state_cache_.tasks_on(id).size() + 32;
     if (m.told.size() > many) std::erase_if(m.told, is_over);
     if (m.starts.size() > many) std::erase_if(m.starts, is_over);
 }
 
-void Fleet::note_committed(const TaskRef& ref, const MachineId& id, const StartProgress& assigned) {
+void WorkerManager::note_committed(const TaskRef& ref, const MachineId& id, const StartProgress& assigned) {
     const auto machine = machines_.find(id);
     if (machine == machines_.end()) return;
-    StartProgress& start = machine->second.starts[{ref, model_.task(ref).attempt}];
+    StartProgress& start = machine->second.starts[{ref, state_cache_.task(ref).attempt}];
     start = assigned;
     start.committed = env_.now();
 }
 
 // Follows a start of this owner's until the task runs.
-void Fleet::note_phase(const MachineId& id, Machine& m, const wire::ReportedTask& task, const Job& job) {
+void WorkerManager::note_phase(const MachineId& id, Machine& m, const wire::TaskStatus& task,
+                               const Job& job) {
     const auto entry = m.starts.find({task.task, task.attempt});
     if (entry == m.starts.end() || task.phase == wire::TaskPhase::fetching) return;
-    const Mono now = env_.now();
+    const SteadyTime now = env_.now();
     StartProgress& start = entry->second;
-    if (start.image_ready == Mono{}) start.image_ready = now;
+    if (start.image_ready == SteadyTime{}) start.image_ready = now;
     if (task.phase == wire::TaskPhase::waiting) return;
-    if (start.ordered != Mono{}) {
+    if (start.ordered != SteadyTime{}) {
         const auto ms = [&](StartStep step) { return step_time(start, step, now).count() / 1000; };
         log::info(
             "event=task_running task={} attempt={} machine={} class={} queue_ms={} commit_ms={} "
             "delivery_ms={} image_ms={} "
             "gang_ms={}",
-            task.task.str(), task.attempt, id.v, job.spec.job_class, ms(StartStep::queue),
+            task.task.str(), task.attempt, id.value(), job.spec.job_class, ms(StartStep::queue),
             ms(StartStep::commit), ms(StartStep::delivery), ms(StartStep::image), ms(StartStep::gang));
         start_times_.add(job.spec.job_class, start, now);
     }
@@ -378,17 +386,17 @@
 
 // Holds the image, or fetches it for another task by now: fetches at the same time share the machine's rate,
 // so that a second image beside the first delays both.
-bool Fleet::has_image(const MachineId& id, const Machine& m, const std::string& image) const {
-    const auto* type = model_.type(m.type);
-    if (type != nullptr && model_.holds_image(id, image, type->cache_gb)) return true;
-    const auto& placed = model_.on_machine(id);
+bool WorkerManager::has_image(const MachineId& id, const Machine& m, const std::string& image) const {
+    const auto* type = state_cache_.machine_type(m.type);
+    if (type != nullptr && state_cache_.holds_image(id, image, type->cache_gb)) return true;
+    const auto& placed = state_cache_.tasks_on(id);
     return std::any_of(placed.begin(), placed.end(), [&](const auto& ref) {
-        const Job* j = model_.job(ref.job);
+        const Job* j = state_cache_.job(ref.job);
         return j != nullptr && j->spec.image == image;
     });
 }
 
-void Fleet::note_error(const MachineId& id, Machine& m, const Job& failed) {
+void WorkerManager::note_error(const MachineId& id, Machine& m, const Job& failed) {
     const JobId& job = failed.spec.id;
     auto& where = job_errors_[job];
     where.insert(id);
@@ -401,39 +409,39 @@
     if (m.error_jobs.size() < 16) m.error_jobs.insert(job);
     ++m.errors;
     m.blocked_until = std::max(m.blocked_until, env_.now() + seconds(std::min(60.0, 10.0 * m.errors)));
-    log::info("event=machine_blocked machine={} job={} errors={}", id.v, job.v, m.errors);
+    log::info("event=machine_blocked machine={} job={} errors={}", id.value(), job.value(), m.errors);
 }
 
 // Every ask looks at every machine: worked out each time, this was a quarter of all processor time in a
 // burst.
-Room Fleet::free_room(const MachineId& id, Machine& m) {
+Resources WorkerManager::free_room(const MachineId& id, Machine& m) {
     if (!m.free || m.free_epoch != room_epoch_) {
-        ++counts_.rooms;
+        ++counts_.capacity_computations;
         m.free = work_out_room(id, m);
         m.free_epoch = room_epoch_;
     }
     return *m.free;
 }
 
-void Fleet::on_placed(const MachineId& id) {
+void WorkerManager::on_placement_changed(const MachineId& id) {
     if (auto m = machines_.find(id); m != machines_.end()) m->second.free.reset();
 }
 
-Room Fleet::work_out_room(const MachineId& id, const Machine& m) const {
-    const auto* type = model_.type(m.type);
+Resources WorkerManager::work_out_room(const MachineId& id, const Machine& m) const {
+    const auto* type = state_cache_.machine_type(m.type);
     if (type == nullptr) return {};
-    Room free = type->room;
-    const auto& placed = model_.on_machine(id);
+    Resources free = type->capacity;
+    const auto& placed = state_cache_.tasks_on(id);
     // An end takes a while to be committed; the machine's own word that the task is over frees its room
     // before.
     for (const auto& ref : placed)
-        if (const Job* j = model_.job(ref.job);
-            j != nullptr && !m.ended.contains({ref, model_.task(ref).attempt}))
+        if (const Job* j = state_cache_.job(ref.job);
+            j != nullptr && !m.ended.contains({ref, state_cache_.task(ref).attempt}))
             free -= j->spec.need;
     // What the worker still reports of others occupies it too.
     for (const auto& [ref, s] : m.tasks)
         if (!placed.contains(ref)) {
-            const Job* j = model_.job(ref.job);
+            const Job* j = state_cache_.job(ref.job);
             if (j == nullptr) {
                 room_unknown_ = true;
                 return {};
@@ -448,7 +456,8 @@
     return free;
 }
 
-void Fleet::hold(const wire::RoundId& round, const Room& each, const std::vector<wire::Offer>& offers) {
+void WorkerManager::hold(const wire::RoundId& round, const Resources& each,
+                         const std::vector<wire::PlacementOffer>& offers) {
     if (offers.empty()) return;
     let_go(round);
     Round& r = holds_[round];
@@ -457,41 +466,41 @@
     for (const auto& o : offers) {
         r.machines.push_back(o.machine);
         promised_[o.machine].held += each;
-        on_placed(o.machine);
+        on_placement_changed(o.machine);
     }
 }
 
-void Fleet::let_go(const wire::RoundId& round) {
+void WorkerManager::let_go(const wire::RoundId& round) {
     auto it = holds_.find(round);
     if (it == holds_.end()) return;
     for (const auto& id : it->second.machines) {
         Promised& p = promised_[id];
         p.held -= it->second.each;
-        on_placed(id);
-        if (p.held == Room{} && p.starting.empty()) promised_.erase(id);
+        on_placement_changed(id);
+        if (p.held == Resources{} && p.starting.empty()) promised_.erase(id);
     }
     holds_.erase(it);
 }
 
-void Fleet::start(const TaskRef& ref, const MachineId& id, const Room& room) {
+void WorkerManager::start(const TaskRef& ref, const MachineId& id, const Resources& room) {
     starting_[ref] = id;
     promised_[id].starting[ref] = room;
-    on_placed(id);
+    on_placement_changed(id);
 }
 
-void Fleet::started(const TaskRef& ref) {
+void WorkerManager::started(const TaskRef& ref) {
     auto it = starting_.find(ref);
     if (it == starting_.end()) return;
     Promised& p = promised_[it->second];
     p.starting.erase(ref);
-    on_placed(it->second);
-    if (p.held == Room{} && p.starting.empty()) promised_.erase(it->second);
+    on_placement_changed(it->second);
+    if (p.held == Resources{} && p.starting.empty()) promised_.erase(it->second);
     starting_.erase(it);
 }
 
-void Fleet::tell_freed(const MachineId& id, Machine& m) {
-    if (!usable(id, m) || !model_.work_waits()) return;
-    const Room free = free_room(id, m);
+void WorkerManager::tell_freed(const MachineId& id, Machine& m) {
+    if (!usable(id, m) || !state_cache_.has_pending_tasks()) return;
+    const Resources free = free_room(id, m);
     auto [it, first] = freed_.try_emplace(m.type, free);
     it->second.cpu = std::max(it->second.cpu, free.cpu);
     it->second.gpu = std::max(it->second.gpu, free.gpu);
@@ -499,13 +508,13 @@
     if (freed_.size() > 1 || !first) return;
     env_.after(millis(25), [this] {
         for (const auto& [type, room] : std::exchange(freed_, {}))
-            for (const auto& n : settings_.all_nodes()) send_(n, wire::Freed{type, room});
+            for (const auto& n : settings_.all_nodes()) send_(n, wire::CapacityFreedNotification{type, room});
     });
 }
 
-bool Fleet::usable(const MachineId& id, const Machine& m) const {
-    Mono now = env_.now();
-    auto mine = cluster_.term_of(id);
+bool WorkerManager::usable(const MachineId& id, const Machine& m) const {
+    SteadyTime now = env_.now();
+    auto mine = cluster_.leader_term(id);
     return mine && m.reported && m.hears && m.term_of_proof == *mine && !m.notice_s && !m.draining &&
            m.blocked_until <= now && now - m.last_heard < seconds(settings_.report_s * 2.5);
 }
@@ -513,30 +522,30 @@
 // Arrays that come before this job: those that have waited a while, and those with fewer machines to go to.
 // The relays ask each for its own jobs; without an order among them, what one relay held could wait for
 // minutes while another's newer work took each place that came free.
-std::vector<const Job*> Fleet::elders(const Job& j) const {
+std::vector<const Job*> WorkerManager::elders(const Job& j) const {
     std::vector<const Job*> out;
-    const WallMs wall = env_.wall();
-    for (const auto& [id, o] : model_.jobs()) {
+    const WallTime wall = env_.wall();
+    for (const auto& [id, o] : state_cache_.jobs()) {
         if (o.spec.shape == wire::Shape::gang || o.cancelled || o.pending() == 0 || id == j.spec.id) continue;
-        const bool older = static_cast<double>(wall.v - o.submitted.v) > elder_wait_s * 1000 &&
-                           sched::comes_before(o, j, elder_apart_s + settings_.skew_ms / 500);
+        const bool older = static_cast<double>(wall.value() - o.submitted.value()) > elder_wait_s * 1000 &&
+                           sched::has_precedence(o, j, elder_apart_s + settings_.skew_ms / 500);
         // Tasks a little too large for the common type waited for the few large machines, which smaller ones
         // filled.
-        const bool needier =
-            o.spec.rank <= j.spec.rank && sched::has_less_choice(o.spec, j.spec, model_.types());
-        if ((older && !sched::has_less_choice(j.spec, o.spec, model_.types())) || needier)
-            if (model_.team_has_room(o.spec.team, o.spec.need, 1)) out.push_back(&o);
+        const bool needier = o.spec.rank <= j.spec.rank &&
+                             sched::has_fewer_types(o.spec, j.spec, state_cache_.machine_types());
+        if ((older && !sched::has_fewer_types(j.spec, o.spec, state_cache_.machine_types())) || needier)
+            if (state_cache_.fits_team_quota(o.spec.team, o.spec.need, 1)) out.push_back(&o);
     }
     return out;
 }
 
-void Fleet::on_ask(const wire::Ask& ask) {
-    ++counts_.asks;
-    const Job* job = model_.job(ask.job);
-    wire::Offers out{ask.round, ask.job, settings_.node, ask.scorers, false, ask.tasks, {}};
-    if (job != nullptr && cluster_.synced() && !job->cancelled) {
-        out.whole = job->spec.shape == wire::Shape::gang;
-        const auto bound = model_.bound_zone(*job);
+void WorkerManager::on_placement_request(const wire::PlacementRequest& ask) {
+    ++counts_.placement_requests;
+    const Job* job = state_cache_.job(ask.job);
+    wire::PlacementResponse out{ask.round, ask.job, settings_.node, ask.scorers, false, ask.tasks, {}};
+    if (job != nullptr && cluster_.is_synced() && !job->cancelled) {
+        out.is_gang = job->spec.shape == wire::Shape::gang;
+        const auto bound = state_cache_.required_zone(*job);
         auto candidates = candidates_for(ask, *job, bound);
         const bool is_service = job->spec.is_service();
         out.offers = sched::rank(candidates, ask.need, ask.tasks.size(),
@@ -548,21 +557,21 @@
 }
 
 // Kept by the supplier for others. A supplier that is gone leaves no reservations behind.
-bool Fleet::kept_from(const MachineId& id, const Job& job) const {
+bool WorkerManager::kept_from(const MachineId& id, const Job& job) const {
     const auto kept = reserved_.find(id);
-    return kept != reserved_.end() && !sched::may_use(job.spec, kept->second) &&
+    return kept != reserved_.end() && !sched::may_use_reserved(job.spec, kept->second) &&
            env_.now() - reserved_at_ < seconds(6);
 }
 
-TaskIndex Fleet::replicas_on(const MachineId& id, const JobId& job) const {
-    const auto& placed = model_.on_machine(id);
+TaskIndex WorkerManager::replicas_on(const MachineId& id, const JobId& job) const {
+    const auto& placed = state_cache_.tasks_on(id);
     return static_cast<TaskIndex>(
         std::count_if(placed.begin(), placed.end(), [&](const TaskRef& ref) { return ref.job == job; }));
 }
 
-std::vector<sched::Candidate> Fleet::candidates_for(const wire::Ask& ask, const Job& job,
-                                                    const std::optional<std::string>& bound) {
-    const Mono now = env_.now();
+std::vector<sched::Candidate> WorkerManager::candidates_for(const wire::PlacementRequest& ask, const Job& job,
+                                                            const std::optional<std::string>& bound) {
+    const SteadyTime now = env_.now();
     const auto failed = job_errors_.find(ask.job);
     std::optional<std::vector<const Job*>>
         before;  // looked up only where there is room: in a burst there is none
@@ -570,26 +579,28 @@
     for (auto& entry : machines_) {
         const MachineId& id = entry.first;
         Machine& m = entry.second;
-        const Room free = free_room(id, m);
-        if (!free.fits(ask.need) || !usable(id, m) ||
+        const Resources free = free_room(id, m);
+        if (!free.covers(ask.need) || !usable(id, m) ||
             !sched::machine_allowed(job.spec, bound, m.type, m.zone, m.spot))
             continue;
-        const auto* type = model_.type(m.type);
-        if (type == nullptr || !sched::worth_using(job.spec, *type, model_.types()) || kept_from(id, job))
+        const auto* type = state_cache_.machine_type(m.type);
+        if (type == nullptr || !sched::should_use_type(job.spec, *type, state_cache_.machine_types()) ||
+            kept_from(id, job))
             continue;
         if (!before) before = elders(job);
         const bool wanted = std::any_of(before->begin(), before->end(), [&](const Job* o) {
-            return sched::machine_allowed(o->spec, model_.bound_zone(*o), m.type, m.zone, m.spot) &&
-                   free.fits(o->spec.need) && sched::worth_using(o->spec, *type, model_.types());
+            return sched::machine_allowed(o->spec, state_cache_.required_zone(*o), m.type, m.zone, m.spot) &&
+                   free.covers(o->spec.need) &&
+                   sched::should_use_type(o->spec, *type, state_cache_.machine_types());
         });
         if (wanted) {
             // Only for a moment: an elder whose relay is away, or that fails everywhere, must not keep it
             // idle.
-            if (m.kept_since == Mono{}) m.kept_since = now;
+            if (m.kept_since == SteadyTime{}) m.kept_since = now;
             if (now - m.kept_since < kept_for) continue;
         }
-        sched::Candidate c{id, m.zone, free, type->room, has_image(id, m, ask.image), std::min(m.errors, 5),
-                           0};
+        sched::Candidate c{
+            id, m.zone, free, type->capacity, has_image(id, m, ask.image), std::min(m.errors, 5), 0};
         if (failed != job_errors_.end() && failed->second.contains(id)) c.penalty += 2;
         if (job.spec.is_service()) c.replicas = replicas_on(id, ask.job);
         candidates.push_back(std::move(c));
@@ -597,39 +608,39 @@
     return candidates;
 }
 
-void Fleet::on_verdict(const wire::Verdict& v) {
+void WorkerManager::on_placement_decision(const wire::PlacementDecision& v) {
     let_go(v.round);
-    const Job* job = model_.job(v.job);
+    const Job* job = state_cache_.job(v.job);
     std::vector<TaskIndex> again;
-    for (const auto& a : v.yes) {
+    for (const auto& a : v.accepted) {
         TaskRef ref{v.job, a.task};
         auto it = machines_.find(a.machine);
         // The room may be gone since it was offered: rechecked, and checked again by the commit.
         if (job == nullptr || it == machines_.end() || !usable(a.machine, it->second) ||
-            starting_.contains(ref) || !free_room(a.machine, it->second).fits(job->spec.need)) {
+            starting_.contains(ref) || !free_room(a.machine, it->second).covers(job->spec.need)) {
             again.push_back(a.task);
             continue;
         }
         it->second.kept_since = {};
         start(ref, a.machine, job->spec.need);
         StartProgress progress;
-        progress.queued = millis(env_.wall().v - job->submitted.v);
+        progress.queued = millis(env_.wall().value() - job->submitted.value());
         progress.assigned = env_.now();
-        ledger_.place(ref, a.machine, it->second.zone,
-                      [this, ref, round = v.round, m = a.machine, progress](bool placed) {
-                          started(ref);
-                          if (placed) {
-                              note_committed(ref, m, progress);
-                              return deliver_soon(m);
-                          }
-                          send_(round.relay, wire::Unplaced{round, ref.job, {ref.task}});
-                      });
+        committer_.commit_start(ref, a.machine, it->second.zone,
+                                [this, ref, round = v.round, m = a.machine, progress](bool placed) {
+                                    started(ref);
+                                    if (placed) {
+                                        note_committed(ref, m, progress);
+                                        return deliver_soon(m);
+                                    }
+                                    send_(round.relay, wire::PlacementFailure{round, ref.job, {ref.task}});
+                                });
     }
-    if (!again.empty()) send_(v.round.relay, wire::Unplaced{v.round, v.job, std::move(again)});
+    if (!again.empty()) send_(v.round.relay, wire::PlacementFailure{v.round, v.job, std::move(again)});
 }
 
 // A start was committed: the machine is told by the answer that waits for it, or asked to check in for it.
-void Fleet::deliver_soon(const MachineId& id) {
+void WorkerManager::deliver_soon(const MachineId& id) {
     // One commit often brings several starts: they share the answer.
     if (held_.contains(id)) {
         env_.after(millis(5), [this, id] { answer(id); });
@@ -641,56 +652,58 @@
 // A direct command that raises the token and orders nothing makes the worker check in at once, and `run` goes
 // in the answer as always. Lost, repeated or late it does no harm: a token is no order. Workers heed it once
 // in half of a lease.
-void Fleet::prompt_check_in(const MachineId& id, Machine& m) {
-    const Mono now = env_.now();
-    const auto mine = cluster_.term_of(id);
+void WorkerManager::prompt_check_in(const MachineId& id, Machine& m) {
+    const SteadyTime now = env_.now();
+    const auto mine = cluster_.leader_term(id);
     const Duration expected = m.last_heard + seconds(settings_.report_s) - now;
     const Duration worth = starts_service(id, m) ? worth_prompting_for_service : worth_prompting;
     const bool too_soon =
-        m.prompted != Mono{} && now - m.prompted < seconds(settings_.lease_s * prompt_every_leases);
+        m.prompted != SteadyTime{} && now - m.prompted < seconds(settings_.lease_s * prompt_every_leases);
     if (!mine || !m.hears || m.term_of_proof != *mine || m.address.empty() || expected < worth || too_soon ||
-        prompting_ >= most_prompts || m.token_count == wire::Token::most_count)
+        prompting_ >= most_prompts || m.token_count == wire::FencingToken::max_count)
         return;
     m.prompted = now;
     ++m.token_count;
     ++prompting_;
-    ++counts_.prompts;
-    env_.http(m.address, {"POST", "/commands", wire::orders_body(token_for(id, *mine), {}, m.age.session)},
+    ++counts_.heartbeat_requests;
+    env_.http(m.address,
+              {"POST", "/commands", wire::encode_commands(token_for(id, *mine), {}, m.sequence.agent_epoch)},
               seconds(2), [this](const HttpResponse&) { --prompting_; });
 }
 
 // A replica was committed to the machine and not yet ordered to run there.
-bool Fleet::starts_service(const MachineId& id, const Machine& m) const {
-    const auto& placed = model_.on_machine(id);
+bool WorkerManager::starts_service(const MachineId& id, const Machine& m) const {
+    const auto& placed = state_cache_.tasks_on(id);
     return std::any_of(placed.begin(), placed.end(), [&](const TaskRef& ref) {
-        const Job* job = model_.job(ref.job);
-        return job != nullptr && job->spec.is_service() && !m.told.contains({ref, model_.task(ref).attempt});
+        const Job* job = state_cache_.job(ref.job);
+        return job != nullptr && job->spec.is_service() &&
+               !m.told.contains({ref, state_cache_.task(ref).attempt});
     });
 }
 
-wire::Token Fleet::token_for(const MachineId& id, Term mine) const {
+wire::FencingToken WorkerManager::token_for(const MachineId& id, Term mine) const {
     const auto m = machines_.find(id);
     const bool counted = m != machines_.end() && m->second.term_of_proof == mine;
     return {mine, counted ? m->second.token_count : 0};
 }
 
-bool Fleet::empty(const MachineId& id, const Machine& m) const {
-    if (!model_.on_machine(id).empty() || !m.tasks.empty()) return false;
+bool WorkerManager::empty(const MachineId& id, const Machine& m) const {
+    if (!state_cache_.tasks_on(id).empty() || !m.tasks.empty()) return false;
     return !promised_.contains(id);
 }
 
-void Fleet::on_drain(const NodeName& from, const wire::Drain& d) {
+void WorkerManager::on_drain_request(const NodeName& from, const wire::DrainRequest& d) {
     auto it = machines_.find(d.machine);
-    if (!cluster_.term_of(d.machine) || it == machines_.end()) return;
+    if (!cluster_.leader_term(d.machine) || it == machines_.end()) return;
     Machine& m = it->second;
     // Only an empty machine is given up; a busy one says nothing and the supplier asks again another time.
     if (!empty(d.machine, m)) return;
     m.draining = true;
     m.drain_since = env_.now();
-    send_(from, wire::Drained{d.machine});
+    send_(from, wire::DrainResponse{d.machine});
 }
 
-void Fleet::on_gone(const wire::Gone& g) {
+void WorkerManager::on_machines_terminated(const wire::MachinesTerminatedNotification& g) {
     for (const auto& id : g.machines) {
         if (auto a = addresses_.find(id); a != addresses_.end() && !a->second.asking) addresses_.erase(a);
         if (gone_.insert(id).second) gone_order_.push_back(id);
@@ -698,32 +711,32 @@
             gone_.erase(gone_order_.front());
             gone_order_.pop_front();
         }
-        for (const auto& ref : std::set<TaskRef>(model_.on_machine(id)))
-            ledger_.release(ref, model_.task(ref).attempt, id, "machine_returned");
-        if (model_.on_machine(id).empty()) machines_.erase(id);
-        model_.forget_machine(id);
+        for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id)))
+            committer_.commit_release(ref, state_cache_.task(ref).attempt, id, "machine_returned");
+        if (state_cache_.tasks_on(id).empty()) machines_.erase(id);
+        state_cache_.forget_machine(id);
     }
 }
 
-void Fleet::on_reserve(const wire::Reserve& m) {
-    if (m.first) reserved_.clear();
+void WorkerManager::on_reservation_update(const wire::ReservationUpdate& m) {
+    if (m.is_first) reserved_.clear();
     for (const auto& r : m.machines) reserved_[r.machine] = {r.job_class, r.rank, r.save_ms / 1000.0, r.job};
     reserved_at_ = env_.now();
 }
 
-void Fleet::on_beat(const wire::Beat& b) {
-    const Mono now = env_.now();
+void WorkerManager::on_peer_heartbeat(const wire::PeerHeartbeat& b) {
+    const SteadyTime now = env_.now();
     for (const auto& m : b.machines) {
         if (m.address.empty() || gone_.contains(m.id)) continue;
         if (addresses_.size() >= most_machines && !addresses_.contains(m.id)) continue;
         Address& a = addresses_[m.id];
         a.where = m.address;
-        a.session = std::max(a.session, m.session);
+        a.session = std::max(a.session, m.agent_epoch);
         a.fresh = now;
     }
 }
 
-void Fleet::on_sighted(const wire::Sighted& m) {
+void WorkerManager::on_machines_discovered(const wire::MachinesDiscoveredNotification& m) {
     for (const auto& s : m.machines) {
         if (gone_.contains(s.id) || (addresses_.size() >= most_machines && !addresses_.contains(s.id)))
             continue;
@@ -733,24 +746,24 @@
     }
 }
 
-void Fleet::on_part_gained(std::uint32_t part) {
-    log::info("event=part_gained part={} term={}", part, cluster_.term(part)->v);
+void WorkerManager::on_leadership_acquired(std::uint32_t part) {
+    log::info("event=part_gained part={} term={}", part, cluster_.term(part)->value());
     hearing_[part] = {env_.now(), {}};
     // For how long machines were silent is counted from now: what was heard in an earlier term says nothing
     // of the time since, when others heard them.
-    for (const auto& [id, placed] : model_.machines())
-        if (model_.part_of(id) == part) machines_[id];
+    for (const auto& [id, placed] : state_cache_.tasks_by_machine())
+        if (state_cache_.shard_of(id) == part) machines_[id];
     for (auto& [id, m] : machines_)
-        if (model_.part_of(id) == part) m.first_known = env_.now();
+        if (state_cache_.shard_of(id) == part) m.first_known = env_.now();
     for (auto& [id, a] : addresses_)
-        if (model_.part_of(id) == part) {
+        if (state_cache_.shard_of(id) == part) {
             a.next_try = {};
             a.tries = 0;
         }
     announce_due();
 }
 
-bool Fleet::knows_us(const MachineId& id, Term mine) const {
+bool WorkerManager::knows_us(const MachineId& id, Term mine) const {
     auto m = machines_.find(id);
     return m != machines_.end() && m->second.term_shown && m->second.term_of_proof == mine;
 }
@@ -758,52 +771,52 @@
 // Workers of an owner that can still reach them must learn the new term, or they would stay with it. A
 // controller cut off from all but its workers would else keep them, their cancelled tasks included, for as
 // long as the cut lasts.
-void Fleet::announce_due() {
-    const Mono now = env_.now();
+void WorkerManager::announce_due() {
+    const SteadyTime now = env_.now();
     std::erase_if(addresses_,
                   [&](const auto& a) { return !a.second.asking && now - a.second.fresh > seconds(120); });
     for (auto& [id, a] : addresses_) {
         if (asking_ >= most_announcements) return;
         if (a.asking || a.next_try > now) continue;
-        auto mine = cluster_.term_of(id);
+        auto mine = cluster_.leader_term(id);
         if (mine && !knows_us(id, *mine)) announce(id);
     }
 }
 
-void Fleet::announce(const MachineId& id) {
+void WorkerManager::announce(const MachineId& id) {
     Address& a = addresses_[id];
-    const Term term = *cluster_.term_of(id);
+    const Term term = *cluster_.leader_term(id);
     a.asking = true;
     ++asking_;
-    env_.http(a.where, {"POST", "/commands", wire::orders_body(token_for(id, term), {}, a.session)},
+    env_.http(a.where, {"POST", "/commands", wire::encode_commands(token_for(id, term), {}, a.session)},
               seconds(2), [this, id, term](const HttpResponse& h) {
                   --asking_;
                   auto at = addresses_.find(id);
                   if (at == addresses_.end()) return;
                   Address& to = at->second;
                   to.asking = false;
-                  auto r = h.status == 200 || h.status == 409 ? wire::parse_report(h.body) : std::nullopt;
-                  const bool wrong_session = r && r->machine == id && r->age.session != to.session;
+                  auto r = h.status == 200 || h.status == 409 ? wire::parse_heartbeat(h.body) : std::nullopt;
+                  const bool wrong_session = r && r->machine == id && r->sequence.agent_epoch != to.session;
                   if (wrong_session && to.tries == 0) {
                       // Told again at once, by the session that the answer shows.
                       ++to.tries;
-                      to.session = r->age.session;
+                      to.session = r->sequence.agent_epoch;
                       to.next_try = {};
                   } else {
-                      if (wrong_session) to.session = r->age.session;
+                      if (wrong_session) to.session = r->sequence.agent_epoch;
                       to.next_try =
                           env_.now() + std::min(seconds(4), millis(500) * (1 << std::min(to.tries, 3)));
                       ++to.tries;
                   }
-                  if (!r || r->machine != id || r->token.term != term || cluster_.term_of(id) != term ||
+                  if (!r || r->machine != id || r->token.term != term || cluster_.leader_term(id) != term ||
                       gone_.contains(id)) {
                       if (wrong_session) announce_due();
                       return;
                   }
                   to.tries = 0;
                   Machine& m = machines_[id];
-                  if (m.first_known == Mono{}) m.first_known = env_.now();
-                  if (r->age > m.age && !m.over(r->age.session, term)) {
+                  if (m.first_known == SteadyTime{}) m.first_known = env_.now();
+                  if (r->sequence > m.sequence && !m.over(r->sequence.agent_epoch, term)) {
                       take_report(m, *r, term, false);
                       // Its last answered report was sent before this answer: a lease runs from here at most.
                       m.last_heard = std::max(m.last_heard, env_.now());
@@ -811,17 +824,17 @@
               });
 }
 
-std::vector<wire::MachineBeat> Fleet::beats() {
-    std::vector<wire::MachineBeat> out;
-    if (!cluster_.in_touch()) return out;  // what is thought to be ours may be another's by now
-    Mono now = env_.now();
+std::vector<wire::MachineStatus> WorkerManager::machine_statuses() {
+    std::vector<wire::MachineStatus> out;
+    if (!cluster_.is_up_to_date()) return out;  // what is thought to be ours may be another's by now
+    SteadyTime now = env_.now();
     for (auto& [id, m] : machines_) {
-        if (!cluster_.term_of(id)) continue;
+        if (!cluster_.leader_term(id)) continue;
         const bool is_empty = empty(id, m);
-        if (!is_empty || m.idle_since == Mono{}) m.idle_since = now;
+        if (!is_empty || m.idle_since == SteadyTime{}) m.idle_since = now;
         // One that is heard but does not hear us is out of touch all the same.
-        Mono heard = std::max(m.last_good, m.first_known);
-        wire::MachineBeat b;
+        SteadyTime heard = std::max(m.last_good, m.first_known);
+        wire::MachineStatus b;
         b.id = id;
         b.type = m.type;
         b.zone = m.zone;
@@ -829,9 +842,10 @@
         b.spot = m.spot;
         b.usable = usable(id, m);
         b.silent = now - heard > seconds(settings_.lease_s);
-        b.session = m.age.session;
+        b.agent_epoch = m.sequence.agent_epoch;
         b.busy_tasks =
-            is_empty ? 0 : static_cast<std::uint32_t>(std::max<std::size_t>(1, model_.on_machine(id).size()));
+            is_empty ? 0
+                     : static_cast<std::uint32_t>(std::max<std::size_t>(1, state_cache_.tasks_on(id).size()));
         auto ms = [](Duration d) {
             return static_cast<std::uint32_t>(std::clamp<std::int64_t>(d.count() / 1000, 0, 1'000'000'000));
         };
@@ -842,93 +856,95 @@
     return out;
 }
 
-void Fleet::on_preempt(const wire::Preempt& p) {
+void WorkerManager::on_preemption_request(const wire::PreemptionRequest& p) {
     TaskRef ref{p.job, p.task};
-    TaskState t = model_.task(ref);
-    const Job* job = model_.job(p.job);
-    if (job == nullptr || t.at != TaskState::At::placed || t.attempt != p.attempt) return;
-    auto mine = cluster_.term_of(t.machine);
+    TaskState t = state_cache_.task(ref);
+    const Job* job = state_cache_.job(p.job);
+    if (job == nullptr || t.status != TaskState::Status::placed || t.attempt != p.attempt) return;
+    auto mine = cluster_.leader_term(t.machine);
     auto it = machines_.find(t.machine);
     if (!mine || it == machines_.end() || !stops_.emplace(std::make_pair(ref, t.attempt), env_.now()).second)
         return;
-    log::info("event=task_preempted task={} attempt={} machine={} term={}", ref.str(), t.attempt, t.machine.v,
-              mine->v);
+    log::info("event=task_preempted task={} attempt={} machine={} term={}", ref.str(), t.attempt,
+              t.machine.value(), mine->value());
     // Straight to the worker, for speed; every answer to its check-ins repeats it until it is heeded.
-    wire::Order halt{wire::Verb::halt, ref, t.attempt, job->spec.save_s + save_margin_s};
-    env_.http(
-        it->second.address,
-        {"POST", "/commands", wire::orders_body(token_for(t.machine, *mine), {halt}, it->second.age.session)},
-        seconds(2), [](const HttpResponse&) {});
+    wire::Command halt{wire::CommandKind::stop, ref, t.attempt, job->spec.save_s + save_margin_s};
+    env_.http(it->second.address,
+              {"POST", "/commands",
+               wire::encode_commands(token_for(t.machine, *mine), {halt}, it->second.sequence.agent_epoch)},
+              seconds(2), [](const HttpResponse&) {});
 }
 
 // Cut off from the workers alone, an owner that is in touch with the state service kept its part while every
 // lease in it ran out, though others heard the workers. Where none of several is heard for longer than any
 // would keep silent by chance, the part goes to another; and on after two leases, should that one hear none
 // either.
-void Fleet::give_up_unheard() {
-    if (!cluster_.in_touch()) return;
-    const Mono now = env_.now();
+void WorkerManager::give_up_unheard() {
+    if (!cluster_.is_up_to_date()) return;
+    const SteadyTime now = env_.now();
     const Duration lease = seconds(settings_.lease_s);
     const Duration quiet = seconds(std::max(settings_.report_s * 1.75, settings_.lease_s * 0.3));
     std::map<std::uint32_t, std::size_t> heard, known;
     for (const auto& [id, m] : machines_)
-        if (now - m.last_heard < lease) ++heard[model_.part_of(id)];
-    for (const auto& [id, a] : addresses_) ++known[model_.part_of(id)];
+        if (now - m.last_heard < lease) ++heard[state_cache_.shard_of(id)];
+    for (const auto& [id, a] : addresses_) ++known[state_cache_.shard_of(id)];
     for (const auto& [part, h] : hearing_) {
         if (!cluster_.term(part)) continue;
         const bool fell_silent = h.heard > h.gained && now - h.heard > quiet && heard[part] >= few_machines;
         const bool never_heard =
             h.heard <= h.gained && now - h.gained > 2 * lease && known[part] >= few_machines;
-        if (fell_silent || never_heard) cluster_.hand_over(part);
+        if (fell_silent || never_heard) cluster_.transfer_leadership(part);
     }
 }
 
-void Fleet::sweep() {
+void WorkerManager::sweep() {
     env_.after(millis(500), [this] { sweep(); });
     // Worked out anew for every sweep and every job that came or went, rooms took a tenth of a large fleet's
     // processor time.
-    if (const Revision types = model_.version(keys::types); std::exchange(types_seen_, types) != types)
+    if (const Revision types = state_cache_.version(keys::machine_types);
+        std::exchange(types_seen_, types) != types)
         ++room_epoch_;
-    Mono now = env_.now();
+    SteadyTime now = env_.now();
     std::vector<wire::RoundId> unanswered;
     for (const auto& [round, r] : holds_)
         if (r.until < now) unanswered.push_back(round);
     for (const auto& round : unanswered) let_go(round);
     std::erase_if(stops_, [&](const auto& s) {
-        TaskState t = model_.task(s.first.first);
-        return t.at != TaskState::At::placed || t.attempt != s.first.second;
+        TaskState t = state_cache_.task(s.first.first);
+        return t.status != TaskState::Status::placed || t.attempt != s.first.second;
     });
-    if (!cluster_.synced()) return;
+    if (!cluster_.is_synced()) return;
     announce_due();
     give_up_unheard();
     // A machine that only its committed tasks tell of is watched too: its silence must come to an end.
-    for (const auto& [id, placed] : model_.machines())
-        if (cluster_.term_of(id)) {
+    for (const auto& [id, placed] : state_cache_.tasks_by_machine())
+        if (cluster_.leader_term(id)) {
             Machine& m = machines_[id];
-            if (m.first_known == Mono{}) m.first_known = now;
+            if (m.first_known == SteadyTime{}) m.first_known = now;
         }
     for (auto it = machines_.begin(); it != machines_.end();) {
         auto& [id, m] = *it;
-        auto mine = cluster_.term_of(id);
+        auto mine = cluster_.leader_term(id);
         if (mine && m.term_shown && m.term_of_proof == *mine &&
             now - m.last_heard > surely_lapsed(settings_.lease_s)) {
             // It has shown our term, so nobody else renewed its lease; and that has run out, drift counted.
-            log::debug("event=lease_lapsed machine={} heard={:.3f} at={:.3f}", id.v,
-                       to_s(m.last_heard.time_since_epoch()), to_s(now.time_since_epoch()));
-            m.lapsed_session = m.age.session;
+            log::debug("event=lease_lapsed machine={} heard={:.3f} at={:.3f}", id.value(),
+                       to_seconds(m.last_heard.time_since_epoch()), to_seconds(now.time_since_epoch()));
+            m.lapsed_session = m.sequence.agent_epoch;
             m.lapsed_term = *mine;
             m.hears = false;
-            for (const auto& ref : std::set<TaskRef>(model_.on_machine(id)))
-                ledger_.release(ref, model_.task(ref).attempt, id, "lease_lapsed");
+            for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id)))
+                committer_.commit_release(ref, state_cache_.task(ref).attempt, id, "lease_lapsed");
         }
         if (m.draining && now - m.drain_since > seconds(20)) m.draining = false;
-        const Mono heard = std::max(m.last_heard, m.first_known);
-        const bool forgotten = model_.on_machine(id).empty() && now - heard > seconds(settings_.lease_s * 12);
-        if ((!mine && model_.on_machine(id).empty()) || forgotten)
+        const SteadyTime heard = std::max(m.last_heard, m.first_known);
+        const bool forgotten =
+            state_cache_.tasks_on(id).empty() && now - heard > seconds(settings_.lease_s * 12);
+        if ((!mine && state_cache_.tasks_on(id).empty()) || forgotten)
             it = machines_.erase(it);
         else
             ++it;
     }
 }
 
-}  // namespace zd
+}  // namespace zincdyke
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -6,7 +6,7 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 // Two jobs with tasks on machines of every owner: one to be cancelled, one that must run on.
@@ -58,7 +58,7 @@
     }
 };
 
-class Gap : public testing::TestWithParam<std::uint64_t> {};
+class Gap : public ::testing::TestWithParam<std::uint64_t> {};
 
 // The state service refuses one owner alone, another controller confirms a cancellation, then nobody is
 // served for longer than `cancel_s`, while workers report to the first.
@@ -171,12 +171,12 @@
     int theirs = 0, others = 0;
     for (auto& [id, m] : w.workers())
         for (const auto& [key, t] : m.tasks)
-            if (t.job == s.on) ++(w.node(2).cluster().term_of(zd::MachineId(id)) ? theirs : others);
+            if (t.job == s.on) ++(w.node(2).cluster().leader_term(zincdyke::MachineId(id)) ? theirs : others);
     ASSERT_GT(others, 0);
     w.store.outage = true;
     w.run(3);
     w.crash(2);
-    const double slack = zd::to_s(w.node(0).horizon().slack());
+    const double slack = zincdyke::to_seconds(w.node(0).cancellation_watermark().renewal_window());
     w.run(slack - 3);
     EXPECT_EQ(w.on_machines(s.on), others);
     EXPECT_TRUE(w.run_until([&] { return w.on_machines(s.on) == 0; }, w.lease_s + 6));
@@ -205,7 +205,7 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Gap, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, Gap, ::testing::Values(1, 2, 3));
 
 // A confirmed cancellation is halted at once, not with the next check-in: nothing of it starts any more.
 TEST(Cancel, HaltedAtOnce) {
@@ -225,4 +225,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/checker.h
+++ b/tests/checker.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace zdtest {
+namespace zincdyke::testing {
 
 struct JobFacts {
     std::string team, job_class;
@@ -185,4 +185,4 @@
     std::map<std::pair<std::string, int>, std::set<std::string>> on_;
 };
 
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -3,10 +3,10 @@
 
 #include <gtest/gtest.h>
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
-struct Planted : testing::Test {
+struct Planted : ::testing::Test {
     Checker c;
     void SetUp() override {
         c.limits["blue"] = {4, 0};
@@ -130,4 +130,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 // Under sanitizers a smaller twin is played, of a quarter of the machines.
@@ -130,12 +130,12 @@
     s.expect_rules();
 }
 
-TEST(Fleet, SevenControllersBackAtOnce) { all_back_at_once(7, 2000 / shrink); }
-TEST(Fleet, ThreeControllersBackAtOnce) { all_back_at_once(3, 1400 / shrink); }
+TEST(WorkerManager, SevenControllersBackAtOnce) { all_back_at_once(7, 2000 / shrink); }
+TEST(WorkerManager, ThreeControllersBackAtOnce) { all_back_at_once(3, 1400 / shrink); }
 
 // Four times as many short tasks as the machines can do: what waits must not cost more than what runs.
 // Counted, not timed: how often a machine's room is worked out for the asks.
-TEST(Fleet, BurstOfShortTasks) {
+TEST(WorkerManager, BurstOfShortTasks) {
     const int machines = 400 / shrink;
     FleetStory s(fleet_options(7, machines), machines);
     World& w = s.w;
@@ -146,15 +146,15 @@
     }
     s.expect_bounds();
     EXPECT_TRUE(s.all_done(400));
-    std::uint64_t asks = 0, looks = 0;
+    std::uint64_t placement_requests = 0, looks = 0;
     for (int n = 0; n < 7; ++n) {
         const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
-        asks += status["workers"]["asks"].get<std::uint64_t>();
+        placement_requests += status["workers"]["asks"].get<std::uint64_t>();
         looks += status["workers"]["rooms"].get<std::uint64_t>();
     }
     // Without the memory of it: once for each of an owner's machines in each ask.
-    EXPECT_GT(asks, 500U);
-    EXPECT_LT(looks, asks * static_cast<std::uint64_t>(machines) / 7 / 4);
+    EXPECT_GT(placement_requests, 500U);
+    EXPECT_LT(looks, placement_requests * static_cast<std::uint64_t>(machines) / 7 / 4);
     s.expect_rules();
 }
 
@@ -196,12 +196,12 @@
     s.expect_bounds();
     s.expect_rules();
 }
-TEST(Fleet, ThirdOfTheMachinesCutWithPacketsHeld) { third_cut(false); }
-TEST(Fleet, ThirdOfTheMachinesHang) { third_cut(true); }
+TEST(WorkerManager, ThirdOfTheMachinesCutWithPacketsHeld) { third_cut(false); }
+TEST(WorkerManager, ThirdOfTheMachinesHang) { third_cut(true); }
 
 // One controller loses the workers and nothing else, for longer than a lease: the others hear them, and take
 // its part over before anything is lost. Back in reach, it takes its part up again without harm.
-TEST(Fleet, OwnerThatHearsNoWorker) {
+TEST(WorkerManager, OwnerThatHearsNoWorker) {
     for (const Link cut : {Link::hold, Link::drop}) {
         FleetStory s(fleet_options(3, 60), 60);
         World& w = s.w;
@@ -229,7 +229,7 @@
 
 // More questions than the state service takes requests: one read answers all who asked before it, and none is
 // left unanswered.
-TEST(Fleet, MoreQuestionsThanRequests) {
+TEST(WorkerManager, MoreQuestionsThanRequests) {
     World::Options o;
     o.budgets = true;
     o.state_rps = 40;
@@ -291,7 +291,7 @@
     return o;
 }
 
-TEST(Fleet, LargePlatformInThreeZones) {
+TEST(WorkerManager, LargePlatformInThreeZones) {
     const int machines = 3600 / shrink;
     World::Options o = large_options();
     o.capacity = machines * 11 / 10;
@@ -349,7 +349,7 @@
 }
 
 // Machines are taken without notice while a controller crashes.
-TEST(Fleet, MachinesLostWithACrash) {
+TEST(WorkerManager, MachinesLostWithACrash) {
     const int machines = 300 / shrink;
     FleetStory s(fleet_options(3, machines), machines);
     World& w = s.w;
@@ -367,7 +367,7 @@
 }
 
 // Machines that report every ten seconds are asked to check in when a start for them was committed.
-TEST(Fleet, StartsAreDeliveredWithoutWaitingForAReport) {
+TEST(WorkerManager, StartsAreDeliveredWithoutWaitingForAReport) {
     World::Options o;
     o.report_s = 10;
     o.lease_s = 45;
@@ -389,4 +389,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -4,12 +4,12 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 // A zone with its workers and a controller is cut off for longer than a lease, cancellations fall into it,
 // and jobs bound to one zone, arrays too, are in it.
-class ZoneCut : public testing::TestWithParam<std::uint64_t> {};
+class ZoneCut : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(ZoneCut, WorkMovesOnAndComesBack) {
     for (const Link cut : {Link::drop, Link::hold}) {
         World w(seeded(GetParam(), {"a", "b"}));
@@ -47,7 +47,7 @@
         expect_recovery(w, ids);
     }
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, ZoneCut, testing::Range<std::uint64_t>(1, 13));
+INSTANTIATE_TEST_SUITE_P(Seeds, ZoneCut, ::testing::Range<std::uint64_t>(1, 13));
 
 // Jobs bound to one zone, arrays too, lose machines there, and the zone gives no more: they go on elsewhere.
 TEST(Meeting, OneZoneJobsLoseTheirMachines) {
@@ -285,7 +285,7 @@
 
 // Commits get no answer and are carried out late, after newer ones of the same controller, while controllers
 // restart.
-class LateWrites : public testing::TestWithParam<std::uint64_t> {};
+class LateWrites : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(LateWrites, ChangeNothingThatCameAfter) {
     World w(seeded(GetParam()));
     w.run(3);
@@ -311,9 +311,10 @@
     expect_recovery(w, ids);
     // No room of the limited team leaked, whoever starts its next task.
     w.run(3);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(w.node(n).model().team(zd::TeamName("blue")).cpu, 0) << n;
+    for (int n = 0; n < 3; ++n)
+        EXPECT_EQ(w.node(n).state_cache().quota_usage(zincdyke::TeamName("blue")).cpu, 0) << n;
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, LateWrites, testing::Range<std::uint64_t>(1, 7));
+INSTANTIATE_TEST_SUITE_P(Seeds, LateWrites, ::testing::Range<std::uint64_t>(1, 7));
 
 // A cancellation, a question and a repeated submission meet the end of the last task, at one moment after
 // another.
@@ -388,7 +389,7 @@
 }
 
 // Two troubles at a time, the second within the first or just after it, by seed.
-class Pairs : public testing::TestWithParam<std::uint64_t> {};
+class Pairs : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(Pairs, RulesHold) {
     World w(seeded(GetParam(), {"a", "b"}));
     w.run(3);
@@ -505,7 +506,7 @@
     const char* n = std::getenv("ZINCDYKE_SEEDS");
     return n != nullptr ? std::stoull(n) : 16;
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Pairs, testing::Range<std::uint64_t>(500, 500 + pair_seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Pairs, ::testing::Range<std::uint64_t>(500, 500 + pair_seeds()));
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/more_meetings_test.cpp
+++ b/tests/more_meetings_test.cpp
@@ -6,7 +6,7 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 const char* const both_teams_limited =
@@ -101,15 +101,15 @@
 }
 
 int supplier_of(World& w) {
-    const std::string name = w.node(any_up(w)).model().supplier().v;
+    const std::string name = w.node(any_up(w)).state_cache().autoscaler_leader().value();
     for (int n = 0; n < w.nodes(); ++n)
         if (w.name(n) == name) return n;
     return -1;
 }
 
-int owner_of(World& w, const std::string& machine) {
+int leader_of(World& w, const std::string& machine) {
     for (int n = 0; n < w.nodes(); ++n)
-        if (w.up(n) && w.node(n).cluster().term_of(zd::MachineId(machine))) return n;
+        if (w.up(n) && w.node(n).cluster().leader_term(zincdyke::MachineId(machine))) return n;
     return -1;
 }
 
@@ -135,7 +135,8 @@
     w.run(3);
     for (int n = 0; n < w.nodes(); ++n)
         for (const auto& team : teams)
-            EXPECT_EQ(w.node(n).model().team(zd::TeamName(team)).cpu, 0) << team << " at " << n;
+            EXPECT_EQ(w.node(n).state_cache().quota_usage(zincdyke::TeamName(team)).cpu, 0)
+                << team << " at " << n;
 }
 
 void link_all(World& w, const std::string& node, const std::vector<std::string>& machines, Link l) {
@@ -167,7 +168,7 @@
             const int rented = w.rented;
             EXPECT_TRUE(w.run_until([&] { return w.rented > rented; }, 20)) << seed << " round " << round;
             w.run(0.4 * round);
-            const int ends = round % 2 == 0 ? supplier_of(w) : owner_of(w, w.workers().rbegin()->first);
+            const int ends = round % 2 == 0 ? supplier_of(w) : leader_of(w, w.workers().rbegin()->first);
             const int before = w.checker.starts;
             if (ends >= 0) w.crash(ends);
             EXPECT_TRUE(w.run_until([&] { return w.checker.starts > before; }, 25))
@@ -204,7 +205,7 @@
             const auto machines = machines_of(w);
             std::vector<std::string> of_others;
             for (const auto& id : machines)
-                if (owner_of(w, id) != 0) of_others.push_back(id);
+                if (leader_of(w, id) != 0) of_others.push_back(id);
             if (ends)
                 w.crash(0);
             else
@@ -418,7 +419,7 @@
             const auto machines = machines_of(w);
             auto owns_some = [&](int n) {
                 return std::any_of(machines.begin(), machines.end(),
-                                   [&](const auto& id) { return owner_of(w, id) == n; });
+                                   [&](const auto& id) { return leader_of(w, id) == n; });
             };
             link_all(w, "n0", machines, Link::drop);
             EXPECT_TRUE(w.run_until([&] { return !owns_some(0); }, 15));
@@ -627,4 +628,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -3,11 +3,11 @@
 #include "sched/logic.h"
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
-using zd::Mono;
-using zd::RestartBackoff;
+using zincdyke::RestartBackoff;
+using zincdyke::SteadyTime;
 
 Json service(World& w, int n, int replicas, double ends_after_s = 1e6, const std::string& team = "red") {
     Json body = w.job(id_of(n), replicas, 1, ends_after_s, team);
@@ -101,13 +101,13 @@
 
 TEST(Service, BackoffGrowsAndForgets) {
     RestartBackoff backoff;
-    Mono now{};
+    SteadyTime now{};
     const auto pause_after = [&](int ran_s) {
         backoff.placed(0, now);
-        now += zd::seconds(ran_s);
-        const Mono earliest = backoff.earliest_start(0, now);
+        now += zincdyke::seconds(ran_s);
+        const SteadyTime earliest = backoff.earliest_start(0, now);
         EXPECT_EQ(backoff.earliest_start(0, now), earliest);  // asking again changes nothing
-        return zd::to_s(earliest - now);
+        return zincdyke::to_seconds(earliest - now);
     };
     EXPECT_EQ(pause_after(1), 0);
     EXPECT_EQ(pause_after(1), 2);
@@ -120,13 +120,14 @@
 
 // One lost machine should not take most of a service: its replicas go to several, holders of the image first.
 TEST(Service, ReplicasAreSpreadOverMachines) {
-    const zd::Room room{8000, 0, 64000};
-    std::vector<zd::sched::Candidate> machines{{zd::MachineId("host-000001"), "a", room, room, true, 0, 0},
-                                               {zd::MachineId("host-000002"), "a", room, room, true, 0, 0},
-                                               {zd::MachineId("host-000003"), "a", room, room, false, 0, 0}};
+    const zincdyke::Resources room{8000, 0, 64000};
+    std::vector<zincdyke::sched::Candidate> machines{
+        {zincdyke::MachineId("host-000001"), "a", room, room, true, 0, 0},
+        {zincdyke::MachineId("host-000002"), "a", room, room, true, 0, 0},
+        {zincdyke::MachineId("host-000003"), "a", room, room, false, 0, 0}};
     std::map<std::string, int> taken;
-    for (const auto& offer : zd::sched::rank(machines, {1000, 0, 1000}, 5, {.spread_replicas = true}))
-        ++taken[offer.machine.v];
+    for (const auto& offer : zincdyke::sched::rank(machines, {1000, 0, 1000}, 5, {.spread_replicas = true}))
+        ++taken[offer.machine.value()];
     EXPECT_EQ(taken,
               (std::map<std::string, int>{{"host-000001", 2}, {"host-000002", 2}, {"host-000003", 1}}));
 }
@@ -140,7 +141,7 @@
     EXPECT_EQ(w.ask(2, "POST", "/api/jobs", service(w, 2, 12, 1e6, "blue").dump()).status, 200);
 }
 
-class ServiceAmid : public testing::TestWithParam<int> {};
+class ServiceAmid : public ::testing::TestWithParam<int> {};
 // Running replicas outlive the upgrade of every controller, an outage and lower limits; those cancelled in
 // any of these are gone in time.
 TEST_P(ServiceAmid, UpgradeOutageAndShrink) {
@@ -182,7 +183,7 @@
     for (int n = 1; n <= 3; ++n) EXPECT_EQ(w.on_machines(id_of(n)), 0);
     expect_never_done(w, 4);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, ServiceAmid, testing::Range(0, 4));
+INSTANTIATE_TEST_SUITE_P(Seeds, ServiceAmid, ::testing::Range(0, 4));
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -11,7 +11,7 @@
 #include "loop/http_client.h"
 #include "loop/http_server.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 
 // A port that is free now.
@@ -27,7 +27,7 @@
 }
 
 bool turn_until(Loop& loop, const std::function<bool()>& done) {
-    const Mono end = loop.now() + std::chrono::seconds(20);
+    const SteadyTime end = loop.now() + std::chrono::seconds(20);
     while (!done()) {
         if (loop.now() > end) return false;
         loop.turn(millis(20));
@@ -94,7 +94,7 @@
     HttpServer mute(loop, silent, ServerLimits(), [](const HttpRequest&, const Reply&) {});
     HttpClient client(loop, client_limits(4));
     int told = 0, given_up = 0;
-    const Mono began = loop.now();
+    const SteadyTime began = loop.now();
     for (int i = 0; i < 3; ++i)
         client.request(silent, {"POST", "/commands", "{}"}, millis(200),
                        [&](const HttpResponse& r) { given_up += r.status == 0 ? 1 : 0; });
@@ -143,4 +143,4 @@
 }
 
 }  // namespace
-}  // namespace zd
+}  // namespace zincdyke
--- a/tests/stories_test.cpp
+++ b/tests/stories_test.cpp
@@ -3,7 +3,7 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 TEST(Story, QuietDay) {
@@ -100,7 +100,7 @@
     expect_rules(w);
 }
 
-class CrashAt : public testing::TestWithParam<int> {};
+class CrashAt : public ::testing::TestWithParam<int> {};
 // A controller, or all of them, dies at one step after another of a job's life; running work outlives it.
 TEST_P(CrashAt, WorkGoesOn) {
     World::Options o;
@@ -116,7 +116,7 @@
     EXPECT_TRUE(told_all(w, ids, 200));
     expect_rules(w);
 }
-INSTANTIATE_TEST_SUITE_P(Steps, CrashAt, testing::Range(0, 12));
+INSTANTIATE_TEST_SUITE_P(Steps, CrashAt, ::testing::Range(0, 12));
 
 TEST(Story, RunningTasksSurviveAllControllersCrashing) {
     World w;
@@ -667,7 +667,7 @@
         w.run(3);
         w.submit(w.job(id_of(1), 16, 1, 120));
         ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(1)) == 16; }, 60));
-        const std::string supplier = w.node(0).model().supplier().v;
+        const std::string supplier = w.node(0).state_cache().autoscaler_leader().value();
         ASSERT_FALSE(supplier.empty());
         std::vector<std::string> others{"state"};
         for (int n = 0; n < 3; ++n)
@@ -787,7 +787,7 @@
     w.run(25);
     w.store.longest_news = 4000;
     w.link("n0", "state", Link::up);
-    EXPECT_TRUE(w.run_until([&] { return w.node(0).cluster().in_touch(); }, 6));
+    EXPECT_TRUE(w.run_until([&] { return w.node(0).cluster().is_up_to_date(); }, 6));
     EXPECT_TRUE(told_all(w, ids, 60));
     expect_rules(w);
 }
@@ -831,7 +831,7 @@
     EXPECT_EQ(part("f/"), ends);
     EXPECT_EQ(part("z/q/"), teams);
     w.run(15);
-    for (int n = 0; n < 3; ++n) EXPECT_TRUE(w.node(n).cluster().is_live(zd::NodeName(w.name(n))));
+    for (int n = 0; n < 3; ++n) EXPECT_TRUE(w.node(n).cluster().is_live(zincdyke::NodeName(w.name(n))));
     EXPECT_TRUE(told_all(w, submit_some(w, 80, 2, 4), 60));
     expect_rules(w);
 }
@@ -868,17 +868,17 @@
     w.run(3);
     w.submit(w.job(id_of(1), 16, 1, 120));
     ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(1)) == 16; }, 60));
-    const std::string supplier = w.node(0).model().supplier().v;
+    const std::string supplier = w.node(0).state_cache().autoscaler_leader().value();
     int n = 0;
     while (w.name(n) != supplier) ++n;
     w.freeze(n, 40);
     w.run(39.99);
     EXPECT_EQ(w.on_machines(id_of(1)), 16);
     // Whatever it does first, before its timers and until it has read anew, it does not as one in touch.
-    EXPECT_FALSE(w.node(n).cluster().in_touch());
+    EXPECT_FALSE(w.node(n).cluster().is_up_to_date());
     w.run(0.03);
-    EXPECT_FALSE(w.node(n).cluster().in_touch());
-    EXPECT_TRUE(w.run_until([&] { return w.node(n).cluster().in_touch(); }, 3));
+    EXPECT_FALSE(w.node(n).cluster().is_up_to_date());
+    EXPECT_TRUE(w.run_until([&] { return w.node(n).cluster().is_up_to_date(); }, 3));
     w.run(12);
     EXPECT_TRUE(told_all(w, {id_of(1)}, 150));
     EXPECT_EQ(w.checker.starts, 16);
@@ -897,7 +897,7 @@
     ASSERT_EQ(w.workers().size(), 1U);
     const std::string machine = w.workers().begin()->first;
     int owner = 0;
-    while (!w.node(owner).cluster().term_of(zd::MachineId(machine))) ++owner;
+    while (!w.node(owner).cluster().leader_term(zincdyke::MachineId(machine))) ++owner;
     // A start is committed, and its order has not reached the machine.
     for (int n = 0; n < 3; ++n) w.link(machine, w.name(n), Link::drop);
     const std::string job = id_of(2);
@@ -923,7 +923,7 @@
 
 // Anything may happen at any time, several things at once: the rules hold, and once it is over all work gets
 // done.
-class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
+class RandomFaults : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(RandomFaults, RulesHold) {
     World::Options o;
     o.seed = GetParam();
@@ -1055,7 +1055,7 @@
     const char* n = std::getenv("ZINCDYKE_SEEDS");
     return n != nullptr ? std::stoull(n) : 12;
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(100, 100 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, ::testing::Range<std::uint64_t>(100, 100 + seeds()));
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/story.h
+++ b/tests/story.h
@@ -4,7 +4,7 @@
 
 #include "world.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 
 inline std::string id_of(int n) {
     char b[32];
@@ -79,4 +79,4 @@
     return o;
 }
 
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/team_locks_test.cpp
+++ b/tests/team_locks_test.cpp
@@ -3,7 +3,7 @@
 
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 // More work of a limited team than it may run at a time.
@@ -98,7 +98,7 @@
 
 // Commits are carried out seconds after their time, without an answer, while the team is always at its limit,
 // holders end and are cut off: no late start may go beyond the limit.
-class LateStarts : public testing::TestWithParam<std::uint64_t> {};
+class LateStarts : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(LateStarts, KeepTheLimit) {
     World::Options o;
     o.seed = GetParam();
@@ -126,9 +126,10 @@
     expect_rules(w);
     // No room of the team leaked.
     w.run(3);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(w.node(n).model().team(zd::TeamName("blue")).cpu, 0) << n;
+    for (int n = 0; n < 3; ++n)
+        EXPECT_EQ(w.node(n).state_cache().quota_usage(zincdyke::TeamName("blue")).cpu, 0) << n;
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, LateStarts, testing::Range<std::uint64_t>(1, 9));
+INSTANTIATE_TEST_SUITE_P(Seeds, LateStarts, ::testing::Range<std::uint64_t>(1, 9));
 
 // The state service is read anew while starts are committed: what the list lacks of them is waited for.
 TEST(TeamLock, StateReadAnewWhileStarting) {
@@ -150,4 +151,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -3,18 +3,18 @@
 
 #include <random>
 
+#include "autoscaler/arrivals.h"
+#include "autoscaler/demand.h"
+#include "autoscaler/plan.h"
 #include "base/settings.h"
-#include "jobs/api.h"
+#include "jobs/jobs_api.h"
 #include "loop/http_message.h"
 #include "policy/policy.h"
 #include "sched/logic.h"
-#include "store/store.h"
-#include "supply/arrivals.h"
-#include "supply/demand.h"
-#include "supply/plan.h"
-#include "wire/peer.h"
+#include "store/store_client.h"
+#include "wire/peer_messages.h"
 
-namespace zd {
+namespace zincdyke {
 namespace {
 
 const char* good_settings = R"(
@@ -112,12 +112,12 @@
 }
 
 TEST(PeerMessages, RoundTrip) {
-    wire::Ask a{{NodeName("n1"), 7}, JobId("job-1"), NodeName("n2"),   3,
-                {1000, 0, 5},        "img",          wire::Rank::high, {1, 2, 99}};
+    wire::PlacementRequest a{{NodeName("n1"), 7}, JobId("job-1"), NodeName("n2"),   3,
+                             {1000, 0, 5},        "img",          wire::Rank::high, {1, 2, 99}};
     std::string frame = wire::encode(a);
-    auto m = wire::decode(std::string_view(frame).substr(wire::peer_header));
+    auto m = wire::decode(std::string_view(frame).substr(wire::peer_header_bytes));
     ASSERT_TRUE(m);
-    const auto& b = std::get<wire::Ask>(*m);
+    const auto& b = std::get<wire::PlacementRequest>(*m);
     EXPECT_EQ(b.round, a.round);
     EXPECT_EQ(b.tasks, a.tasks);
     EXPECT_EQ(b.need, a.need);
@@ -127,24 +127,25 @@
 // Truncated, changed and random bytes are refused or decode to something: never more than that.
 TEST(PeerMessages, SurviveMutation) {
     std::mt19937_64 rng(5);
-    wire::Beat beat{{5, 6, 7, 8, true, true, {JobId("job-1"), JobId("job-22")}},
-                    true,
-                    9,
-                    3,
-                    {{MachineId("host-1"), "t", "z", "1.2.3.4:5", true, true, false, 3, 1, 2, 3}}};
-    wire::Offers offers{
+    wire::PeerHeartbeat beat{{5, 6, 7, 8, true, true, {JobId("job-1"), JobId("job-22")}},
+                             true,
+                             9,
+                             3,
+                             {{MachineId("host-1"), "t", "z", "1.2.3.4:5", true, true, false, 3, 1, 2, 3}}};
+    wire::PlacementResponse offers{
         {NodeName("n"), 1}, JobId("job-2"), NodeName("m"), 3, true, {0, 1}, {{MachineId("host-2"), "z", -5}}};
-    wire::Settle settle{
+    wire::CommitRequest settle{
         JobId("job-3"),
         {{0, 7, 2, MachineId("host-3"), "z", 41, 9}, {2, 8, 1, MachineId("host-4"), "", 41, 10}}};
-    wire::Settled settled{{{9, true}, {10, false}},
-                          {{"z/t/job-3/0", R"({"p":[[7,2,"host-3"]]})", 42}, {"z/j/job-3", "", 42}}};
-    wire::Reserve reserve{true, {{MachineId("host-5"), "c", wire::Rank::high, 5000, JobId("job-4")}}};
+    wire::CommitResponse settled{{{9, true}, {10, false}},
+                                 {{"z/t/job-3/0", R"({"p":[[7,2,"host-3"]]})", 42}, {"z/j/job-3", "", 42}}};
+    wire::ReservationUpdate reserve{true,
+                                    {{MachineId("host-5"), "c", wire::Rank::high, 5000, JobId("job-4")}}};
     int refused = 0;
     for (const wire::PeerMessage& m :
          {wire::PeerMessage(beat), wire::PeerMessage(offers), wire::PeerMessage(settle),
           wire::PeerMessage(settled), wire::PeerMessage(reserve)}) {
-        std::string frame = wire::encode(m).substr(wire::peer_header);
+        std::string frame = wire::encode(m).substr(wire::peer_header_bytes);
         for (std::size_t n = 0; n < frame.size(); ++n)
             EXPECT_FALSE(wire::decode(std::string_view(frame).substr(0, n)));
         EXPECT_FALSE(wire::decode(frame + "x"));
@@ -188,10 +189,10 @@
     fits_all.need = {3900, 0, 11000};
     fits_large.need = {4100, 0, 11000};
     wants_gpu.need = {4000, 1000, 11000};
-    EXPECT_TRUE(sched::has_less_choice(fits_large, fits_all, types));
-    EXPECT_FALSE(sched::has_less_choice(fits_all, fits_large, types));
-    EXPECT_FALSE(sched::has_less_choice(fits_all, fits_all, types));
-    EXPECT_FALSE(sched::has_less_choice(wants_gpu, fits_all, types));
+    EXPECT_TRUE(sched::has_fewer_types(fits_large, fits_all, types));
+    EXPECT_FALSE(sched::has_fewer_types(fits_all, fits_large, types));
+    EXPECT_FALSE(sched::has_fewer_types(fits_all, fits_all, types));
+    EXPECT_FALSE(sched::has_fewer_types(wants_gpu, fits_all, types));
 }
 
 TEST(HttpParser, BytewiseAndMutated) {
@@ -223,16 +224,16 @@
     const std::string text =
         R"({"werf":"host-1","address":"10.1.0.1:9000","breed":"g8","field":"a","loaners":true,"tenure":1,"tick":88,)"
         R"("baton":41,"warning_s":null,"shards":[{"shard":"job-1/3","try":2,"phase":"ended","cause":"done"}]})";
-    auto r = wire::parse_report(text);
+    auto r = wire::parse_heartbeat(text);
     ASSERT_TRUE(r);
-    EXPECT_EQ(r->tasks.at(0).cause, wire::Cause::done);
+    EXPECT_EQ(r->tasks.at(0).cause, wire::ExitCause::done);
     EXPECT_EQ(r->tasks.at(0).task.task, 3U);
     std::mt19937_64 rng(7);
     int refused = 0;
     for (int i = 0; i < 5000; ++i) {
         std::string bad = text;
         for (int k = 0; k < 2; ++k) bad[rng() % bad.size()] = static_cast<char>(rng() % 128);
-        if (!wire::parse_report(bad)) ++refused;
+        if (!wire::parse_heartbeat(bad)) ++refused;
     }
     EXPECT_GT(refused, 100);
 }
@@ -243,8 +244,8 @@
                                     {MachineId("roomy"), "a", {4000, 0, 8000}, {4000, 0, 8000}, false, 0}};
     auto offers = sched::rank(c, {1000, 0, 1000}, 10);
     ASSERT_EQ(offers.size(), 7U);  // 1 + 2 + 4 CPUs
-    EXPECT_EQ(offers[0].machine.v, "holder");
-    EXPECT_EQ(offers[1].machine.v, "roomy");
+    EXPECT_EQ(offers[0].machine.value(), "holder");
+    EXPECT_EQ(offers[1].machine.value(), "roomy");
 }
 
 TEST(Choose, GangAllOrNothing) {
@@ -254,7 +255,7 @@
     EXPECT_TRUE(sched::choose(offers, {0, 1, 2}, true, {}, rng).empty());
     auto yes = sched::choose(offers, {0}, true, {}, rng);
     ASSERT_TRUE(yes.contains(NodeName("y")));
-    EXPECT_EQ(yes[NodeName("y")][0].machine.v, "m2");
+    EXPECT_EQ(yes[NodeName("y")][0].machine.value(), "m2");
 }
 
 TEST(FinalCache, IsBounded) {
@@ -270,23 +271,23 @@
     wire::JobSpec spec;
     spec.need = {1000, 0, 1000};
     spec.spot = false;
-    supply::PlanInput in;
+    autoscaler::PlanInput in;
     in.types = &types;
     in.demands.push_back({&spec, {}, 8, 20, 5});
-    auto p = supply::make_plan(in);
+    auto p = autoscaler::make_plan(in);
     ASSERT_EQ(p.rent.size(), 1U);
     EXPECT_EQ(p.rent.begin()->second, 2U);
     EXPECT_FALSE(p.rent.begin()->first.spot);
     // Patient work takes turns on what is there.
     in.bins.push_back({MachineId("host-1"), "small", "a", false, {{0, {4000, 0, 16000}}}, false, {}});
     in.demands[0].patience_s = 60;
-    p = supply::make_plan(in);
+    p = autoscaler::make_plan(in);
     EXPECT_TRUE(p.rent.empty());
     EXPECT_TRUE(p.wanted.contains(MachineId("host-1")));
 }
 
 Job submitted(const std::string& id, wire::Shape shape, TaskIndex tasks, const std::string& image,
-              WallMs at) {
+              WallTime at) {
     Job job;
     job.spec.id = JobId(id);
     job.spec.shape = shape;
@@ -298,24 +299,24 @@
 
 // A gang asks for a machine for each member, any other job for one; a job counts once, and for four minutes.
 TEST(ArrivalStatistics, CountsMachinesWithinItsWindow) {
-    supply::ArrivalStatistics arrivals;
+    autoscaler::ArrivalStatistics arrivals;
     EXPECT_TRUE(arrivals.empty());
-    const Job gang = submitted("job-1", wire::Shape::gang, 6, "a", {1'000});
+    const Job gang = submitted("job-1", wire::Shape::gang, 6, "a", WallTime(1'000));
     arrivals.record(gang);
     arrivals.record(gang);
-    arrivals.record(submitted("job-2", wire::Shape::array, 100, "b", {51'000}));
-    arrivals.record(submitted("job-3", wire::Shape::array, 100, "b", {21'000}));
+    arrivals.record(submitted("job-2", wire::Shape::array, 100, "b", WallTime(51'000)));
+    arrivals.record(submitted("job-3", wire::Shape::array, 100, "b", WallTime(21'000)));
     EXPECT_EQ(arrivals.latest_spec().id, JobId("job-2"));
-    EXPECT_DOUBLE_EQ(arrivals.machines_per_s({101'000}), 8.0 / 100);
-    EXPECT_DOUBLE_EQ(arrivals.machines_per_s({2'000}), 8.0 / 30);  // over 30 s at least
+    EXPECT_DOUBLE_EQ(arrivals.machines_per_s(WallTime(101'000)), 8.0 / 100);
+    EXPECT_DOUBLE_EQ(arrivals.machines_per_s(WallTime(2'000)), 8.0 / 30);  // over 30 s at least
     EXPECT_DOUBLE_EQ(arrivals.image_shares().at("a"), 0.75);
     EXPECT_DOUBLE_EQ(arrivals.image_shares().at("b"), 0.25);
-    arrivals.expire({241'000});
+    arrivals.expire(WallTime(241'000));
     EXPECT_EQ(arrivals.image_shares().size(), 2U);
-    arrivals.expire({241'001});
+    arrivals.expire(WallTime(241'001));
     EXPECT_EQ(arrivals.image_shares().size(), 1U);
-    EXPECT_DOUBLE_EQ(arrivals.machines_per_s({241'001}), 2.0 / 240);
-    arrivals.expire({300'000});
+    EXPECT_DOUBLE_EQ(arrivals.machines_per_s(WallTime(241'001)), 2.0 / 240);
+    arrivals.expire(WallTime(300'000));
     EXPECT_TRUE(arrivals.empty());
 }
 
@@ -330,12 +331,12 @@
     urgent.rank = wire::Rank::critical;
     large.need.cpu = 2000;
     const std::vector<const wire::JobSpec*> specs{&any, &in_zone, &of_type, &spot, &urgent, &large};
-    std::vector<supply::Demand> demands;
+    std::vector<autoscaler::Demand> demands;
     for (int i = 0; i < 10; ++i)
         for (const auto* spec : specs) demands.push_back({spec, {}, 2, 10.0 + i, 20.0 - 0.5 * i});
-    EXPECT_EQ(supply::merge(demands).size(), 60U);
+    EXPECT_EQ(autoscaler::merge(demands).size(), 60U);
     for (const auto* spec : specs) demands.push_back({spec, "b", 2, 10, 20});
-    const auto merged = supply::merge(demands);
+    const auto merged = autoscaler::merge(demands);
     // Patience of 20 s, of 10 to 20 s, and the pinned ones.
     ASSERT_EQ(merged.size(), 3 * specs.size());
     for (std::size_t i = 0; i < specs.size(); ++i) {
@@ -353,8 +354,8 @@
 // The world as a list of what was asked of it.
 class Asked : public Env {
   public:
-    Mono now() override { return Mono(std::chrono::seconds(1000)); }
-    WallMs wall() override { return {}; }
+    SteadyTime now() override { return SteadyTime(std::chrono::seconds(1000)); }
+    WallTime wall() override { return {}; }
     TimerId after(Duration, std::function<void()>) override { return ++timers_; }
     void cancel(TimerId) override {}
     void http(const std::string&, HttpRequest req, Duration, Reply) override { paths.push_back(req.path); }
@@ -373,11 +374,11 @@
     const Settings settings = parse_settings(good_settings);
     StoreClient store(env, settings);
     for (int i = 0; i < 300; ++i)
-        store.get("z/t/job-1/" + std::to_string(i), Urgency::decision, [](const GetResult&) {});
+        store.get("z/t/job-1/" + std::to_string(i), RequestPriority::decision, [](const GetResult&) {});
     const std::size_t before = env.paths.size();
     EXPECT_LT(before, 200U);
     for (int i = 0; i < 30; ++i)
-        store.get("z/j/job-" + std::to_string(i), Urgency::user, [](const GetResult&) {});
+        store.get("z/j/job-" + std::to_string(i), RequestPriority::user, [](const GetResult&) {});
     EXPECT_EQ(env.paths.size(), before + 30);
     EXPECT_EQ(env.paths.back(), "/store/z/j/job-29");
 }
@@ -404,4 +405,4 @@
 }
 
 }  // namespace
-}  // namespace zd
+}  // namespace zincdyke
--- a/tests/upgrade_faults_test.cpp
+++ b/tests/upgrade_faults_test.cpp
@@ -5,7 +5,7 @@
 #include "cluster/format_level.h"
 #include "story.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
 constexpr int steps = 60;
@@ -17,7 +17,7 @@
     return n != nullptr ? std::strtoull(n, nullptr, 10) : 25;
 }
 
-class UpgradeFaults : public testing::TestWithParam<std::uint64_t> {
+class UpgradeFaults : public ::testing::TestWithParam<std::uint64_t> {
   protected:
     static World::Options options() {
         World::Options o;
@@ -141,7 +141,8 @@
 
     bool all_at_new_level() {
         for (int i = 0; i < 3; ++i)
-            if (!w.up(i) || w.node(i).model().format_level() < zd::FormatLevel::small_pages) return false;
+            if (!w.up(i) || w.node(i).state_cache().format_level() < zincdyke::FormatLevel::small_pages)
+                return false;
         return true;
     }
 
@@ -182,7 +183,7 @@
     EXPECT_TRUE(all_at_new_level());
     EXPECT_LE(w.store.refused_large, 20U);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, UpgradeFaults, testing::Range<std::uint64_t>(900, 900 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, UpgradeFaults, ::testing::Range<std::uint64_t>(900, 900 + seeds()));
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,21 +4,21 @@
 #include <set>
 
 #include "base/settings.h"
-#include "cluster/cluster.h"
+#include "cluster/cluster_coordinator.h"
 #include "cluster/format_level.h"
 #include "store/records.h"
 #include "story.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 namespace {
 
-using zd::JobId;
-using zd::MachineId;
-using zd::Model;
-using zd::NodeName;
-using zd::Revision;
-using zd::TaskState;
+using zincdyke::JobId;
+using zincdyke::MachineId;
+using zincdyke::NodeName;
+using zincdyke::Revision;
+using zincdyke::StateCache;
+using zincdyke::TaskState;
 
 std::string hex(const std::string& bytes) {
     std::string text;
@@ -31,9 +31,9 @@
 }
 
 // Kept for good: a model refers to its settings.
-const zd::Settings& limits(double value_kb, double next_value_kb) {
-    static std::deque<zd::Settings> kept;
-    zd::Settings& settings = kept.emplace_back();
+const zincdyke::Settings& limits(double value_kb, double next_value_kb) {
+    static std::deque<zincdyke::Settings> kept;
+    zincdyke::Settings& settings = kept.emplace_back();
     settings.size = 3;
     settings.state_limits = {40, value_kb, 8};
     settings.strictest_limits = {40, std::min(value_kb, next_value_kb), 4};
@@ -52,7 +52,7 @@
     return o;
 }
 
-std::uint32_t level_of(World& w, int node) { return w.node(node).model().format_level(); }
+std::uint32_t level_of(World& w, int node) { return w.node(node).state_cache().format_level(); }
 
 bool reaches_level(World& w, std::uint32_t level, double most) {
     return w.run_until(
@@ -79,23 +79,23 @@
 }
 
 // The expected texts were printed by a program that includes the headers of the commit that
-// deploy/service.toml names as production and is linked against its library (Model::encode_job, encode_page,
-// wire::encode).
+// deploy/service.toml names as production and is linked against its library (StateCache::encode_job,
+// encode_page, wire::encode).
 TEST(Upgrade, RecordsAndFramesAreProductions) {
-    const Model m(limits(4, 4));
+    const StateCache m(limits(4, 4));
     EXPECT_EQ(m.standard_page_size(), 92U);
-    EXPECT_EQ(Model(limits(8, 2)).standard_page_size(), 194U);
+    EXPECT_EQ(StateCache(limits(8, 2)).standard_page_size(), 194U);
     std::string why;
-    zd::Job j;
-    j.spec = *zd::wire::parse_job(
+    zincdyke::Job j;
+    j.spec = *zincdyke::wire::parse_job(
         R"({"uid":"job-000412","ilk":"train","crew":"vision","shape":"group","rank":"high","shards":16,)"
         R"("vcpus":8.0,"gpus":1.0,"ram_gb":64.0,"cask":"img-07","image_gb":6.2,"breeds":["g8"],"field":null,)"
         R"("one_zone":true,"apart":false,"loaners":true,"guess_s":240.0,"mark_every_s":30.0,"stow_s":4.0,)"
         R"("due_s":900.0})",
         why);
     j.relay = NodeName("n1");
-    j.submitted = zd::WallMs{123456};
-    j.pinned_zone = "a";
+    j.submitted = zincdyke::WallTime{123456};
+    j.assigned_zone = "a";
     j.cancelled = true;
     EXPECT_EQ(m.encode_job(j).dump(),
               R"({"at":123456,"pin":"a","relay":"n1","spec":{"apart":false,"breeds":["g8"],"cask":"img-07",)"
@@ -103,66 +103,68 @@
               R"("loaners":true,"mark_every_s":30.0,"one_zone":true,"ram_gb":64.0,"rank":"high",)"
               R"("shape":"group","shards":16,"stow_s":4.0,"uid":"job-000412","vcpus":8.0},"x":true})");
     std::vector<TaskState> tasks(92);
-    tasks[0] = {TaskState::At::placed, 3, MachineId("host-000231"), ""};
-    tasks[1] = {TaskState::At::pending, 2, MachineId(), ""};
-    tasks[2] = {TaskState::At::done, 0, MachineId(), ""};
-    tasks[91] = {TaskState::At::placed, 1, MachineId("host-000232"), "b"};
+    tasks[0] = {TaskState::Status::placed, 3, MachineId("host-000231"), ""};
+    tasks[1] = {TaskState::Status::pending, 2, MachineId(), ""};
+    tasks[2] = {TaskState::Status::done, 0, MachineId(), ""};
+    tasks[91] = {TaskState::Status::placed, 1, MachineId("host-000232"), "b"};
     EXPECT_EQ(
-        zd::records::encode_page(tasks, 92).dump(),
+        zincdyke::records::encode_page(tasks, 92).dump(),
         R"({"d":"40000000000000000000000","p":[[92,3,"host-000231"],[183,1,"host-000232","b"]],"t":[[93,2]]})");
-    EXPECT_EQ(m.part_of(MachineId("host-000231")), 0U);
-    EXPECT_EQ(zd::Cluster::pick("job-000412", {NodeName("n0"), NodeName("n1"), NodeName("n2")}),
+    EXPECT_EQ(m.shard_of(MachineId("host-000231")), 0U);
+    EXPECT_EQ(zincdyke::ClusterCoordinator::pick_by_hash("job-000412",
+                                                         {NodeName("n0"), NodeName("n1"), NodeName("n2")}),
               NodeName("n2"));
-    EXPECT_EQ((zd::wire::Token{zd::Term{41}, 3}.value()), 2686979U);
+    EXPECT_EQ((zincdyke::wire::FencingToken{zincdyke::Term{41}, 3}.value()), 2686979U);
     EXPECT_EQ(
-        hex(zd::wire::encode(
-            zd::wire::Settle{JobId("job-000412"), {{1, 7, 2, MachineId("host-000231"), "a", 41, 9}}})),
+        hex(zincdyke::wire::encode(zincdyke::wire::CommitRequest{
+            JobId("job-000412"), {{1, 7, 2, MachineId("host-000231"), "a", 41, 9}}})),
         "3b000000040c0a006a6f622d303030343132010000000107000000020000000b00686f73742d303030323331010061290000"
         "00000000000900000000000000");
     EXPECT_EQ(
-        hex(zd::wire::encode(zd::wire::Settled{{{9, true}}, {{"z/t/job-000412/0", "{}", 77}}})),
+        hex(zincdyke::wire::encode(
+            zincdyke::wire::CommitResponse{{{9, true}}, {{"z/t/job-000412/0", "{}", 77}}})),
         "31000000040d010000000900000000000000010100000010007a2f742f6a6f622d3030303431322f3002007b7d4d000000"
         "00000000");
     EXPECT_EQ(
-        hex(zd::wire::encode(zd::wire::Ask{{NodeName("n1"), 5},
-                                           JobId("job-000412"),
-                                           NodeName("n2"),
-                                           3,
-                                           {1000, 0, 2000},
-                                           "img-07",
-                                           zd::wire::Rank::high,
-                                           {1, 2}})),
+        hex(zincdyke::wire::encode(zincdyke::wire::PlacementRequest{{NodeName("n1"), 5},
+                                                                    JobId("job-000412"),
+                                                                    NodeName("n2"),
+                                                                    3,
+                                                                    {1000, 0, 2000},
+                                                                    "img-07",
+                                                                    zincdyke::wire::Rank::high,
+                                                                    {1, 2}})),
         "4c000000040202006e3105000000000000000a006a6f622d30303034313202006e3203e803000000000000000000000000"
         "0000d0070000000000000600696d672d303701020000000100000002000000");
-    EXPECT_EQ(hex(zd::wire::encode(zd::wire::CalledOff{JobId("job-000412")})),
+    EXPECT_EQ(hex(zincdyke::wire::encode(zincdyke::wire::JobCancelledNotification{JobId("job-000412")})),
               "0e000000040f0a006a6f622d303030343132");
 }
 
 struct JobInModel {
-    Model model;
+    StateCache model;
     JobId id{"job-000001"};
     std::uint64_t revision = 0;
 
-    explicit JobInModel(const zd::Settings& settings, std::uint32_t tasks) : model(settings) {
+    explicit JobInModel(const zincdyke::Settings& settings, std::uint32_t tasks) : model(settings) {
         World w;
-        zd::Job j;
+        zincdyke::Job j;
         std::string why;
-        j.spec = *zd::wire::parse_job(w.job(id.v, static_cast<int>(tasks)).dump(), why);
-        put(zd::keys::job(id), model.encode_job(j));
+        j.spec = *zincdyke::wire::parse_job(w.job(id.value(), static_cast<int>(tasks)).dump(), why);
+        put(zincdyke::keys::job(id), model.encode_job(j));
     }
     void put(const std::string& key, std::optional<Json> value) {
         model.apply({key, std::move(value), Revision{++revision}});
     }
-    const zd::Job& job() const { return *model.job(id); }
+    const zincdyke::Job& job() const { return *model.job(id); }
     void make_pages_smaller() {
-        zd::Job j = job();
+        zincdyke::Job j = job();
         j.small_page_size = model.safe_page_size();
-        put(zd::keys::job(id), model.encode_job(j));
+        put(zincdyke::keys::job(id), model.encode_job(j));
     }
     void put_page(const std::string& key, std::size_t first, std::size_t size, std::size_t placed_at) {
         std::vector<TaskState> tasks(size);
-        tasks[placed_at] = {TaskState::At::placed, 1, MachineId("host-000007"), ""};
-        put(key, zd::records::encode_page(tasks, first));
+        tasks[placed_at] = {TaskState::Status::placed, 1, MachineId("host-000007"), ""};
+        put(key, zincdyke::records::encode_page(tasks, first));
     }
 };
 
@@ -170,10 +172,10 @@
 // records come; the first write of one names the frozen pages that it follows.
 TEST(Upgrade, SmallPagesTakePrecedenceOverTheirRange) {
     JobInModel m(limits(8, 2), 300);
-    m.put_page(zd::keys::page(m.id, 0), 0, 194, 50);
-    m.put_page(zd::keys::page(m.id, 1), 194, 106, 10);
+    m.put_page(zincdyke::keys::page(m.id, 0), 0, 194, 50);
+    m.put_page(zincdyke::keys::page(m.id, 1), 194, 106, 10);
     m.make_pages_smaller();
-    const zd::Job& j = m.job();
+    const zincdyke::Job& j = m.job();
     const std::uint32_t size = j.small_page_size;
     ASSERT_EQ(size, 41U);
     EXPECT_EQ(j.placed, 2U);
@@ -181,27 +183,27 @@
     EXPECT_EQ(m.model.task({m.id, 204}).machine, MachineId("host-000007"));
     // Tasks 164 to 204 were in both frozen pages.
     EXPECT_EQ(m.model.page_conditions(j, 4).size(), 3U);
-    m.put_page(zd::keys::small_page(m.id, 1), size, size, 0);
+    m.put_page(zincdyke::keys::small_page(m.id, 1), size, size, 0);
     EXPECT_EQ(m.model.page_conditions(m.job(), 1).size(), 1U);
-    EXPECT_EQ(m.model.task({m.id, 50}).at, TaskState::At::pending);
-    EXPECT_EQ(m.model.task({m.id, 41}).at, TaskState::At::placed);
-    EXPECT_EQ(m.model.on_machine(MachineId("host-000007")).size(), 2U);
+    EXPECT_EQ(m.model.task({m.id, 50}).status, TaskState::Status::pending);
+    EXPECT_EQ(m.model.task({m.id, 41}).status, TaskState::Status::placed);
+    EXPECT_EQ(m.model.tasks_on(MachineId("host-000007")).size(), 2U);
     // A frozen page read again says nothing of that range.
-    m.put_page(zd::keys::page(m.id, 0), 0, 194, 60);
-    EXPECT_EQ(m.model.task({m.id, 60}).at, TaskState::At::pending);
-    m.put(zd::keys::job(m.id), std::nullopt);
-    EXPECT_TRUE(m.model.on_machine(MachineId("host-000007")).empty());
-    EXPECT_EQ(m.model.orphans().size(), 3U);
+    m.put_page(zincdyke::keys::page(m.id, 0), 0, 194, 60);
+    EXPECT_EQ(m.model.task({m.id, 60}).status, TaskState::Status::pending);
+    m.put(zincdyke::keys::job(m.id), std::nullopt);
+    EXPECT_TRUE(m.model.tasks_on(MachineId("host-000007")).empty());
+    EXPECT_EQ(m.model.orphaned_pages().size(), 3U);
 }
 
 // In a list the smaller pages come before the larger, and both after the job.
 TEST(Upgrade, RecordsOfAListAddUpInAnyOrder) {
     JobInModel m(limits(8, 2), 100);
     m.make_pages_smaller();
-    m.put_page(zd::keys::small_page(m.id, 0), 0, 41, 3);
-    m.put_page(zd::keys::page(m.id, 0), 0, 100, 5);
-    EXPECT_EQ(m.model.task({m.id, 3}).at, TaskState::At::placed);
-    EXPECT_EQ(m.model.task({m.id, 5}).at, TaskState::At::pending);
+    m.put_page(zincdyke::keys::small_page(m.id, 0), 0, 41, 3);
+    m.put_page(zincdyke::keys::page(m.id, 0), 0, 100, 5);
+    EXPECT_EQ(m.model.task({m.id, 3}).status, TaskState::Status::placed);
+    EXPECT_EQ(m.model.task({m.id, 5}).status, TaskState::Status::pending);
     EXPECT_EQ(m.job().placed, 1U);
 }
 
@@ -210,14 +212,14 @@
     Json record = m.model.encode_job(m.job());
     for (const Json& pages : {Json{{"layout", 2}, {"size", 5}}, Json{{"layout", 1}}, Json("x")}) {
         record["pages"] = pages;
-        EXPECT_FALSE(zd::records::decode_job(record)) << pages;
+        EXPECT_FALSE(zincdyke::records::decode_job(record)) << pages;
     }
     const Revision before = m.job().version;
-    m.put(zd::keys::job(m.id), record);
+    m.put(zincdyke::keys::job(m.id), record);
     EXPECT_EQ(m.job().version, before);  // so that no commit names the version of what was not understood
 }
 
-class InTurn : public testing::TestWithParam<int> {};
+class InTurn : public ::testing::TestWithParam<int> {};
 // Nodes are upgraded in every order while arrays of several pages and a gang run, one that was not upgraded
 // yet crashes and comes back as it was, and the owner of a part ends after each step. Then the limits drop.
 TEST_P(InTurn, LevelRisesOnlyAfterTheLast) {
@@ -245,7 +247,7 @@
         w.start_node(other);
         w.run(4);
     }
-    ASSERT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 10));
+    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
     w.store.lower_limits(2048, 4, 30);
     ids.push_back(id_of(4));
     w.submit(w.job(ids[3], 300, 0.5, 10));
@@ -253,7 +255,7 @@
     EXPECT_EQ(w.store.refused_large, 0U);
     expect_rules(w);
 }
-INSTANTIATE_TEST_SUITE_P(Orders, InTurn, testing::Range(0, 6));
+INSTANTIATE_TEST_SUITE_P(Orders, InTurn, ::testing::Range(0, 6));
 
 TEST(Upgrade, LevelWaitsForTheNodeThatIsAway) {
     World::Options o = shrinking();
@@ -266,10 +268,10 @@
     const Json status = Json::parse(w.ask(0, "GET", "/internal/status").body);
     EXPECT_EQ(status["format"]["waiting_for"], Json::array({"n2"}));
     w.upgrade(2);
-    EXPECT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 20));
+    EXPECT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 20));
 }
 
-class LevelAmidTroubles : public testing::TestWithParam<int> {};
+class LevelAmidTroubles : public ::testing::TestWithParam<int> {};
 // Commits without an answer, late or sent twice, a state service that is away, a crash at each moment: the
 // level rises once all are upgraded, and does not fall.
 TEST_P(LevelAmidTroubles, RisesOnce) {
@@ -290,18 +292,18 @@
         w.run(0.2 * GetParam());
         w.start_node(i);
     }
-    ASSERT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 40));
+    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 40));
     const auto version = w.store.data.at("z/l").second;
     w.crash(0);
     w.run(3);
     w.start_node(0);
     w.run(60);
     EXPECT_EQ(w.store.data.at("z/l").second, version);
-    EXPECT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 1));
+    EXPECT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 1));
 }
-INSTANTIATE_TEST_SUITE_P(Moments, LevelAmidTroubles, testing::Range(0, 6));
+INSTANTIATE_TEST_SUITE_P(Moments, LevelAmidTroubles, ::testing::Range(0, 6));
 
-class Shrink : public testing::TestWithParam<int> {};
+class Shrink : public ::testing::TestWithParam<int> {};
 // The limits drop in the middle of starts, of ends, of a cancellation and of a takeover, with a job whose
 // pages are too large by then.
 TEST_P(Shrink, WorkGoesOn) {
@@ -325,7 +327,7 @@
     expect_rules(w);
     EXPECT_TRUE(w.run_until([&] { return keys_with(w, "z/r/") + keys_with(w, "z/t/") == 0; }, 60));
 }
-INSTANTIATE_TEST_SUITE_P(Moments, Shrink, testing::Range(0, 8));
+INSTANTIATE_TEST_SUITE_P(Moments, Shrink, ::testing::Range(0, 8));
 
 // A job of thousands of tasks, half through when the limits drop.
 TEST(Upgrade, LargeJobAcrossTheChange) {
@@ -339,7 +341,7 @@
         w.upgrade(i);
         w.run(3);
     }
-    ASSERT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 10));
+    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
     w.store.lower_limits(2048, 4, 30);
     EXPECT_TRUE(told_all(w, {id_of(1)}, 400));
     EXPECT_LE(w.store.refused_large, 10U);
@@ -461,7 +463,7 @@
     expect_rules(w);
 }
 
-class SpreadAcross : public testing::TestWithParam<int> {};
+class SpreadAcross : public ::testing::TestWithParam<int> {};
 // At most half of a job's tasks may be in one zone: also where its pages become smaller while the tasks of
 // one zone fill some of them.
 TEST_P(SpreadAcross, SmallerPages) {
@@ -476,12 +478,12 @@
     w.submit(spread);
     w.run(14 + GetParam());
     w.upgrade(0);
-    ASSERT_TRUE(reaches_level(w, zd::FormatLevel::small_pages, 10));
+    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
     w.store.lower_limits(2048, 4, 30);
     EXPECT_TRUE(told_all(w, {id_of(1)}, 300));
     expect_rules(w);
 }
-INSTANTIATE_TEST_SUITE_P(Moments, SpreadAcross, testing::Range(0, 4));
+INSTANTIATE_TEST_SUITE_P(Moments, SpreadAcross, ::testing::Range(0, 4));
 
 // The changes a second drop by half under a backlog: refused ones are few, and the work goes on.
 TEST(Upgrade, WriteRateHalvedUnderLoad) {
@@ -504,4 +506,4 @@
 }
 
 }  // namespace
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -4,18 +4,22 @@
 
 #include <algorithm>
 
-namespace zdtest {
+namespace zincdyke::testing {
 
-class SimEnv : public zd::Env {
+class SimEnv : public zincdyke::Env {
   public:
     SimEnv(World& w, std::size_t host, std::string name, std::uint64_t life)
         : w_(w), host_(host), name_(std::move(name)), life_(life), rng_(w.rng()) {}
-    Mono now() override { return Mono(Duration(static_cast<std::int64_t>((w_.now() + 1000) * 1e6))); }
-    zd::WallMs wall() override { return {static_cast<std::int64_t>(w_.now() * 1000)}; }
+    SteadyTime now() override {
+        return SteadyTime(Duration(static_cast<std::int64_t>((w_.now() + 1000) * 1e6)));
+    }
+    zincdyke::WallTime wall() override {
+        return zincdyke::WallTime(static_cast<std::int64_t>(w_.now() * 1000));
+    }
     TimerId after(Duration d, std::function<void()> fn) override {
         TimerId id = ++next_;
         live_.insert(id);
-        w_.at(zd::to_s(d), guarded([this, id, fn = std::move(fn)] {
+        w_.at(zincdyke::to_seconds(d), guarded([this, id, fn = std::move(fn)] {
                   if (live_.erase(id) > 0) fn();
               }));
         return id;
@@ -30,19 +34,20 @@
             if (to_worker) --calls_;
             done(std::move(r));
         };
-        w_.at(zd::to_s(timeout), guarded([once] { once({}); }));
+        w_.at(zincdyke::to_seconds(timeout), guarded([once] { once({}); }));
         w_.http(name_, address, req, [&w = w_, host = host_, once, life = life_](HttpResponse r) {
             w.deliver(host, life, 0, [once, r = std::move(r)] { once(r); });
         });
     }
-    void send_peer(const zd::NodeName& to, std::string frame) override {
-        EXPECT_LE(frame.size(), zd::wire::max_peer_frame);
-        w_.send(name_, to.v, [&w = w_, from = zd::NodeName(name_), to, frame = std::move(frame)] {
+    void send_peer(const zincdyke::NodeName& to, std::string frame) override {
+        EXPECT_LE(frame.size(), zincdyke::wire::max_peer_frame);
+        w_.send(name_, to.value(), [&w = w_, from = zincdyke::NodeName(name_), to, frame = std::move(frame)] {
             for (std::size_t i = 0; i < w.hosts_.size(); ++i) {
                 auto& h = w.hosts_[i];
                 if (h.settings.node != to || !h.node) continue;
                 w.deliver(i, h.life, 0, [&h, from, frame] {
-                    auto m = zd::wire::decode(std::string_view(frame).substr(zd::wire::peer_header));
+                    auto m = zincdyke::wire::decode(
+                        std::string_view(frame).substr(zincdyke::wire::peer_header_bytes));
                     if (m) h.node->on_peer(from, *m);
                 });
             }
@@ -284,11 +289,12 @@
              std::to_string(options_.memory_mb) + "\nmax_sockets = " + std::to_string(options_.max_sockets) +
              "\n";
         Host h;
-        h.settings = zd::parse_settings(s);
+        h.settings = zincdyke::parse_settings(s);
         hosts_.push_back(std::move(h));
     }
     for (const auto& [n, t] : hosts_[0].settings.teams)
-        checker.limits[n.v] = {static_cast<double>(t.cpu_max) / 1000, static_cast<double>(t.gpu_max) / 1000};
+        checker.limits[n.value()] = {static_cast<double>(t.cpu_max) / 1000,
+                                     static_cast<double>(t.gpu_max) / 1000};
     for (int i = 0; i < options_.nodes; ++i) start_node(i);
     std::function<void()> beat = [this] {
         store.tick();
@@ -335,8 +341,8 @@
     auto& h = hosts_[static_cast<std::size_t>(i)];
     if (h.node) return;
     ++h.life;
-    h.env = std::make_unique<SimEnv>(*this, static_cast<std::size_t>(i), h.settings.node.v, h.life);
-    h.node = std::make_unique<zd::Node>(*h.env, h.settings, zd::Policy{});
+    h.env = std::make_unique<SimEnv>(*this, static_cast<std::size_t>(i), h.settings.node.value(), h.life);
+    h.node = std::make_unique<zincdyke::Node>(*h.env, h.settings, zincdyke::Policy{});
     h.node->start();
 }
 
@@ -697,7 +703,7 @@
                         std::size_t next = target + 1;
                         double wait = 1;
                         for (std::size_t i = 0; i < hosts_.size(); ++i)
-                            if (j.value("foreman", "") == hosts_[i].settings.node.v && i != target) {
+                            if (j.value("foreman", "") == hosts_[i].settings.node.value() && i != target) {
                                 next = i;
                                 wait = 0.2;
                             }
@@ -922,7 +928,7 @@
 }
 
 void World::keep_for_next(const Worker& w, const std::string& body) {
-    const auto term = hosts_[w.node].node->cluster().term_of(zd::MachineId(w.id));
+    const auto term = hosts_[w.node].node->cluster().leader_term(zincdyke::MachineId(w.id));
     if (term) kept_reports_.push_back({w.id, body, *term});
 }
 
@@ -930,7 +936,7 @@
     std::erase_if(kept_reports_, [this](const KeptReport& kept) {
         for (std::size_t host = 0; host < hosts_.size(); ++host) {
             if (!hosts_[host].node) continue;
-            const auto term = hosts_[host].node->cluster().term_of(zd::MachineId(kept.machine));
+            const auto term = hosts_[host].node->cluster().leader_term(zincdyke::MachineId(kept.machine));
             if (!term || *term <= kept.term) continue;
             // Some before the machine's own next report.
             const double lag = chance() < 0.5 ? 0.1 * chance() : 3 * chance();
@@ -976,7 +982,7 @@
                 }
         const bool gang = b.value("shape", "") == "group";
         const int wants = gang ? (begun == 0 ? tasks : 0) : std::min(1, tasks - begun);
-        const zdtest::TeamLimit limit = checker.limits[b.value("crew", "")];
+        const zincdyke::testing::TeamLimit limit = checker.limits[b.value("crew", "")];
         const auto& u = used[b.value("crew", "")];
         const bool under = (limit.cpu <= 0 || u.first + wants * b.value("vcpus", 0.0) <= limit.cpu + 1e-6) &&
                            (limit.gpu <= 0 || u.second + wants * b.value("gpus", 0.0) <= limit.gpu + 1e-6);
@@ -1143,4 +1149,4 @@
     return got->value_or(HttpResponse{});
 }
 
-}  // namespace zdtest
+}  // namespace zincdyke::testing
--- a/tests/world.h
+++ b/tests/world.h
@@ -14,14 +14,14 @@
 #include "app/node.h"
 #include "checker.h"
 
-namespace zdtest {
+namespace zincdyke::testing {
 
-using zd::Duration;
-using zd::HttpRequest;
-using zd::HttpResponse;
-using zd::Json;
-using zd::Mono;
-using zd::Reply;
+using zincdyke::Duration;
+using zincdyke::HttpRequest;
+using zincdyke::HttpResponse;
+using zincdyke::Json;
+using zincdyke::Reply;
+using zincdyke::SteadyTime;
 
 enum class Link { up, drop, hold };
 
@@ -152,7 +152,7 @@
     void crash(int i);
     // Stands still while clocks run on; what comes meanwhile waits, and is handled before its own timers.
     void freeze(int i, double for_s);
-    zd::Node& node(int i) { return *hosts_[static_cast<std::size_t>(i)].node; }
+    zincdyke::Node& node(int i) { return *hosts_[static_cast<std::size_t>(i)].node; }
     // Ends the node and starts it again with the new version.
     void upgrade(int i, double down_s = 0.5);
     bool up(int i) const { return hosts_[static_cast<std::size_t>(i)].node != nullptr; }
@@ -226,9 +226,9 @@
   private:
     friend class SimEnv;
     struct Host {
-        zd::Settings settings;
+        zincdyke::Settings settings;
         std::unique_ptr<class SimEnv> env;
-        std::unique_ptr<zd::Node> node;
+        std::unique_ptr<zincdyke::Node> node;
         std::uint64_t life = 0;
         double frozen_until = 0;
     };
@@ -268,7 +268,7 @@
     std::map<std::string, Worker> workers_;
     struct KeptReport {
         std::string machine, body;
-        zd::Term term;  // of the owner that it was sent to
+        zincdyke::Term term;  // of the owner that it was sent to
     };
     std::vector<KeptReport> kept_reports_;
     std::map<std::string, JobText> jobs_;
@@ -283,4 +283,4 @@
     double cloud_tokens_ = 0, cloud_last_ = -1;
 };
 
-}  // namespace zdtest
+}  // namespace zincdyke::testing
