--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -25,9 +25,14 @@
         auto answered = std::make_shared<bool>(false);
         const bool to_worker = address.rfind("10.2.", 0) != 0;
         if (to_worker) w_.most_calls = std::max(w_.most_calls, ++calls_);
-        auto once = [this, to_worker, answered, done = std::move(done)](HttpResponse r) {
+        MessageRecorder* const recorder = w_.options_.recorder;
+        if (recorder != nullptr)
+            recorder->request(w_.now(), MessageRecorder::Kind::request, name_, address, req);
+        auto once = [this, to_worker, answered, recorder, address, done = std::move(done)](HttpResponse r) {
             if (std::exchange(*answered, true)) return;
             if (to_worker) --calls_;
+            if (recorder != nullptr)
+                recorder->response(w_.now(), MessageRecorder::Kind::response, address, name_, r);
             done(std::move(r));
         };
         w_.at(zd::to_s(timeout), guarded([once] { once({}); }));
@@ -37,6 +42,7 @@
     }
     void send_peer(const zd::NodeName& to, std::string frame) override {
         EXPECT_LE(frame.size(), zd::wire::max_peer_frame);
+        if (w_.options_.recorder != nullptr) w_.options_.recorder->frame(w_.now(), name_, to.v, frame);
         w_.send(name_, to.v, [&w = w_, from = zd::NodeName(name_), to, frame = std::move(frame)] {
             for (std::size_t i = 0; i < w.hosts_.size(); ++i) {
                 auto& h = w.hosts_[i];
@@ -74,6 +80,10 @@
         grant_of_.erase(g);
     }
     if (!v && !data.contains(key)) return;
+    if (w_.recorder() != nullptr) {
+        const std::string text = v ? v->dump() : "";
+        w_.recorder()->write(w_.now(), key, revision, v ? &text : nullptr);
+    }
     if (v)
         data[key] = {*v, revision};
     else
@@ -372,6 +382,19 @@
     fn();
 }
 
+void World::ask_node(std::size_t host, const std::string& from, const HttpRequest& req, Reply reply) {
+    MessageRecorder* const recorder = options_.recorder;
+    if (recorder != nullptr && !MessageRecorder::is_outside(req)) {
+        const std::string to = hosts_[host].settings.node.v;
+        recorder->request(now_, MessageRecorder::Kind::asked, from, to, req);
+        reply = [this, recorder, from, to, inner = std::move(reply)](HttpResponse response) {
+            recorder->response(now_, MessageRecorder::Kind::answered, to, from, response);
+            inner(std::move(response));
+        };
+    }
+    hosts_[host].node->on_request(req, std::move(reply));
+}
+
 void World::repeat_later(const HttpRequest& req, std::function<void()> fn) {
     if (repeats > 0 && req.method == "POST" && chance() < repeats) at(repeat_s * chance(), std::move(fn));
 }
@@ -677,46 +700,46 @@
     if (copies > 0 && chance() < copies) {
         at(copy_s * chance(), [this, target, body] {
             if (up(static_cast<int>(target)))
-                hosts_[target].node->on_request({"POST", "/checkin", body}, [](const HttpResponse&) {});
+                ask_node(target, "copy", {"POST", "/checkin", body}, [](const HttpResponse&) {});
         });
     }
     if (copies_for_next > 0 && chance() < copies_for_next) keep_for_next(w, body);
     send(id, node_name, [this, id, node_name, target, body, settle, sent, session] {
         if (!up(static_cast<int>(target))) return;
         deliver(target, hosts_[target].life, 0, [=, this] {
-            hosts_[target].node->on_request({"POST", "/checkin", body}, [this, id, node_name, target, settle,
-                                                                         sent, session](HttpResponse r) {
-                send(node_name, id, [this, id, target, settle, sent, session, r] {
-                    auto it = workers_.find(id);
-                    if (it == workers_.end() || !it->second.alive || it->second.hung ||
-                        it->second.flight == 0)
-                        return;
-                    Worker& w2 = it->second;
-                    Json j = Json::parse(r.body, nullptr, false);
-                    if (r.status == 421) {
-                        std::size_t next = target + 1;
-                        double wait = 1;
-                        for (std::size_t i = 0; i < hosts_.size(); ++i)
-                            if (j.value("foreman", "") == hosts_[i].settings.node.v && i != target) {
-                                next = i;
-                                wait = 0.2;
-                            }
-                        settle(wait, next);
-                        return;
-                    }
-                    if (r.status != 200) {
-                        settle(1, target + 1);
-                        return;
-                    }
-                    if (!settle(report_s * (0.75 + 0.5 * chance()), target)) return;
-                    std::uint64_t term = j.value("baton", std::uint64_t{0});
-                    if (term < w2.term || term == 0 || session != w2.session) return;
-                    take_token(w2, term);
-                    if (now_ - w2.lease_from > lease_s) return;
-                    w2.lease_from = std::max(w2.lease_from, sent);
-                    execute(w2, j["orders"]);
-                });
-            });
+            ask_node(target, id, {"POST", "/checkin", body},
+                     [this, id, node_name, target, settle, sent, session](HttpResponse r) {
+                         send(node_name, id, [this, id, target, settle, sent, session, r] {
+                             auto it = workers_.find(id);
+                             if (it == workers_.end() || !it->second.alive || it->second.hung ||
+                                 it->second.flight == 0)
+                                 return;
+                             Worker& w2 = it->second;
+                             Json j = Json::parse(r.body, nullptr, false);
+                             if (r.status == 421) {
+                                 std::size_t next = target + 1;
+                                 double wait = 1;
+                                 for (std::size_t i = 0; i < hosts_.size(); ++i)
+                                     if (j.value("foreman", "") == hosts_[i].settings.node.v && i != target) {
+                                         next = i;
+                                         wait = 0.2;
+                                     }
+                                 settle(wait, next);
+                                 return;
+                             }
+                             if (r.status != 200) {
+                                 settle(1, target + 1);
+                                 return;
+                             }
+                             if (!settle(report_s * (0.75 + 0.5 * chance()), target)) return;
+                             std::uint64_t term = j.value("baton", std::uint64_t{0});
+                             if (term < w2.term || term == 0 || session != w2.session) return;
+                             take_token(w2, term);
+                             if (now_ - w2.lease_from > lease_s) return;
+                             w2.lease_from = std::max(w2.lease_from, sent);
+                             execute(w2, j["orders"]);
+                         });
+                     });
         });
     });
 }
@@ -916,8 +939,8 @@
 void World::copy_of_report(const std::string& machine, int to, double delay) {
     at(delay, [this, to, body = report_body(workers_.at(machine))] {
         if (up(to))
-            hosts_[static_cast<std::size_t>(to)].node->on_request({"POST", "/checkin", body},
-                                                                  [](const HttpResponse&) {});
+            ask_node(static_cast<std::size_t>(to), "copy", {"POST", "/checkin", body},
+                     [](const HttpResponse&) {});
     });
 }
 
@@ -936,7 +959,7 @@
             const double lag = chance() < 0.5 ? 0.1 * chance() : 3 * chance();
             at(lag, [this, host, life = hosts_[host].life, body = kept.body] {
                 deliver(host, life, 0, [this, host, body] {
-                    hosts_[host].node->on_request({"POST", "/checkin", body}, [](const HttpResponse&) {});
+                    ask_node(host, "copy", {"POST", "/checkin", body}, [](const HttpResponse&) {});
                 });
             });
             return true;
@@ -1075,12 +1098,12 @@
                               repeat_later({method, path, body}, [this, id, method, path, body, submission] {
                                   const auto any = static_cast<std::size_t>(rng() % hosts_.size());
                                   if (!hosts_[any].node || frozen(any)) return;
-                                  hosts_[any].node->on_request(
-                                      {method, path, body}, [this, id, submission](const HttpResponse& late) {
-                                          Json j = Json::parse(late.body, nullptr, false);
-                                          checker.told(now_, id, submission, late.status,
-                                                       j.is_object() ? j.value("phase", "") : "");
-                                      });
+                                  ask_node(any, "copy", {method, path, body},
+                                           [this, id, submission](const HttpResponse& late) {
+                                               Json j = Json::parse(late.body, nullptr, false);
+                                               checker.told(now_, id, submission, late.status,
+                                                            j.is_object() ? j.value("phase", "") : "");
+                                           });
                               });
                           Json j = Json::parse(r.body, nullptr, false);
                           std::string phase = j.is_object() ? j.value("phase", "") : "";
@@ -1095,7 +1118,7 @@
                       });
              };
              deliver(host, hosts_[host].life, 0, [this, host, method, path, body, take] {
-                 hosts_[host].node->on_request({method, path, body}, take);
+                 ask_node(host, "users", {method, path, body}, take);
              });
          });
 }
@@ -1137,8 +1160,8 @@
 HttpResponse World::ask(int i, const std::string& method, const std::string& path, const std::string& body,
                         double most) {
     auto got = std::make_shared<std::optional<HttpResponse>>();
-    hosts_[static_cast<std::size_t>(i)].node->on_request({method, path, body},
-                                                         [got](HttpResponse r) { *got = std::move(r); });
+    ask_node(static_cast<std::size_t>(i), "users", {method, path, body},
+             [got](HttpResponse r) { *got = std::move(r); });
     run_until([got] { return got->has_value(); }, most);
     return got->value_or(HttpResponse{});
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -13,6 +13,7 @@
 
 #include "app/node.h"
 #include "checker.h"
+#include "message_recorder.h"
 
 namespace zdtest {
 
@@ -137,6 +138,7 @@
         int next_txn_ops = 0;
         // Nodes that begin with production's version, by its records: it knows no format levels.
         std::set<int> production_nodes;
+        MessageRecorder* recorder = nullptr;  // is told every message, if there is one; outlives the World
         bool budgets = false;  // the state service and the cloud refuse what is over their rates
     };
     World() : World(Options()) {}
@@ -222,6 +224,7 @@
     std::size_t most_calls = 0;
     double slowest_answer = 0;
     const std::vector<std::string>& zones() const { return options_.zones; }
+    MessageRecorder* recorder() const { return options_.recorder; }
 
   private:
     friend class SimEnv;
@@ -235,6 +238,8 @@
     bool frozen(std::size_t host) const { return hosts_[host].frozen_until > now_; }
     // Runs `fn` for that life of a controller; later, if it stands still.
     void deliver(std::size_t host, std::uint64_t life, double lag, std::function<void()> fn);
+    // Every request to a controller passes here.
+    void ask_node(std::size_t host, const std::string& from, const HttpRequest& req, Reply reply);
     void repeat_later(const HttpRequest& req, std::function<void()> fn);
     bool is_unknown_to_production(const std::string& from, const HttpRequest& req) const;
     void http(const std::string& from, const std::string& address, const HttpRequest& req, Reply reply);
