--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -19,36 +19,17 @@
 Node::Node(Env& env, const Settings& settings, const Policy& policy)
     : env_(env),
       settings_(settings),
-      state_cache_(settings),
+      state_cache_(settings, *this),
       store_(env, settings),
       cloud_(env, settings),
-      cluster_(env, settings, store_, state_cache_),
+      cluster_(env, settings, store_, state_cache_, *this),
       format_level_(env, settings, store_, state_cache_, cluster_),
       cancellation_watermark_(env, settings, state_cache_),
-      committer_(
-          env, settings, store_, state_cache_, cluster_,
-          [this](const NodeName& to, wire::PeerMessage m) { send(to, std::move(m)); },
-          [this](const NodeName& n) { return near(n); }),
-      workers_(env, settings, state_cache_, cluster_, cancellation_watermark_, committer_,
-               [this](const NodeName& to, wire::PeerMessage m) { send(to, std::move(m)); }),
-      api_(env, settings, store_, state_cache_, cluster_),
-      relay_(
-          env, settings, store_, state_cache_, cluster_, committer_,
-          [this](const NodeName& to, wire::PeerMessage m) { send(to, std::move(m)); },
-          [this] { return reachable(); }),
-      autoscaler_(env, settings, policy, store_, state_cache_, cluster_, cloud_,
-                  [this](const NodeName& to, wire::PeerMessage m) { send(to, std::move(m)); }) {
-    state_cache_.on_job_changed = [this](const JobId& id) { relay_.on_job_changed(id); };
-    state_cache_.on_placement_changed = [this](const MachineId& id) { workers_.on_placement_changed(id); };
-    state_cache_.on_pages_resized = [this](const JobId& id) { committer_.on_pages_resized(id); };
-    state_cache_.on_jobs_changed = [this] { workers_.on_jobs_changed(); };
-    state_cache_.on_job_cancelled = [this](const JobId& id) { workers_.on_job_cancelled(id); };
-    cluster_.on_state_read = [this](SteadyTime sent) { cancellation_watermark_.on_state_read(sent); };
-    api_.on_job_cancelled = [this](const JobId& id) {
-        for (const auto& s : settings_.seeds) send(s.node, wire::JobCancelledNotification{id});
-    };
-    cluster_.on_leadership_acquired = [this](std::uint32_t part) { workers_.on_leadership_acquired(part); };
-}
+      committer_(env, settings, store_, state_cache_, cluster_, *this),
+      workers_(env, settings, state_cache_, cluster_, cancellation_watermark_, committer_, *this),
+      api_(env, settings, store_, state_cache_, cluster_, *this),
+      relay_(env, settings, store_, state_cache_, cluster_, committer_, *this),
+      autoscaler_(env, settings, policy, store_, state_cache_, cluster_, cloud_, *this) {}
 
 void Node::start() {
     cluster_.start();
@@ -74,7 +55,7 @@
     const double demand = committer_.sample_write_demand();
     std::map<NodeName, double> heard;
     for (const auto& [n, p] : peers_)
-        if (near(n)) heard[n] = p.write_demand;
+        if (is_reachable(n)) heard[n] = p.write_demand;
     if (cluster_.is_synced()) cluster_.update_write_share(demand, heard);
     // What each machine does matters to the supplier alone; the others must know where to announce
     // themselves, should a part fall to them. Told to all each time, the machines of a large fleet took more
@@ -108,15 +89,15 @@
     }
 }
 
-bool Node::near(const NodeName& n) {
-    auto p = peers_.find(n);
+bool Node::is_reachable(const NodeName& peer) const {
+    const auto p = peers_.find(peer);
     return p != peers_.end() && p->second.store_reachable && env_.now() - p->second.heard < peer_quiet;
 }
 
-std::vector<NodeName> Node::reachable() {
+std::vector<NodeName> Node::reachable_nodes() const {
     std::vector<NodeName> out{settings_.node};
     for (const auto& [n, p] : peers_)
-        if (near(n)) out.push_back(n);
+        if (is_reachable(n)) out.push_back(n);
     return out;
 }
 
@@ -126,7 +107,7 @@
     // while its peers were not yet aware, would be kept off the list long after.
     if (store_.unreachable_for() < outage_grace) return true;
     // When nobody is served, leaving the load balancer's list helps no user and only delays the return to it.
-    return std::none_of(peers_.begin(), peers_.end(), [&](const auto& p) { return near(p.first); });
+    return std::none_of(peers_.begin(), peers_.end(), [&](const auto& p) { return is_reachable(p.first); });
 }
 
 void Node::on_request(const HttpRequest& req, const Reply& reply) {
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -20,7 +20,7 @@
 
 namespace zincdyke {
 
-class Node {
+class Node : private PeerChannel, private StateObserver, private ClusterObserver {
   public:
     Node(Env& env, const Settings& settings, const Policy& policy);
     void start();
@@ -32,9 +32,17 @@
 
   private:
     void beat();
-    void send(const NodeName& to, wire::PeerMessage m);
-    std::vector<NodeName> reachable();
-    bool near(const NodeName& n);
+    void send(const NodeName& to, wire::PeerMessage m) override;
+    bool is_reachable(const NodeName& peer) const override;
+    std::vector<NodeName> reachable_nodes() const override;
+    void on_job_changed(const JobId& id) override { relay_.on_job_changed(id); }
+    void on_placement_changed(const MachineId& id) override { workers_.on_placement_changed(id); }
+    void on_pages_resized(const JobId& id) override { committer_.on_pages_resized(id); }
+    void on_job_cancelled(const JobId& id) override { workers_.on_job_cancelled(id); }
+    void on_jobs_changed() override { workers_.on_jobs_changed(); }
+    void on_membership_changed() override { cluster_.on_membership_changed(); }
+    void on_leadership_acquired(std::uint32_t shard) override { workers_.on_leadership_acquired(shard); }
+    void on_state_read(SteadyTime sent) override { cancellation_watermark_.on_state_read(sent); }
     bool healthy();
     std::string status();
     Env& env_;
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -31,8 +31,7 @@
 }  // namespace
 
 Autoscaler::Autoscaler(Env& env, const Settings& settings, const Policy& policy, StoreClient& store,
-                       StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud,
-                       const SendPeer& send)
+                       StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud, PeerChannel& peers)
     : env_(env),
       settings_(settings),
       policy_(policy),
@@ -40,10 +39,10 @@
       state_cache_(model),
       cluster_(cluster),
       cloud_(cloud),
-      send_(send),
+      peers_(peers),
       inventory_(settings),
-      provisioner_(env, settings, policy_, cluster, cloud, inventory_, send),
-      reservations_(env, settings, policy_, model, inventory_, send) {}
+      provisioner_(env, settings, policy_, cluster, cloud, inventory_, peers),
+      reservations_(env, settings, policy_, model, inventory_, peers) {}
 
 void Autoscaler::start() { tick(); }
 
@@ -56,7 +55,7 @@
             inventory_.record_report(from, machine, now);
         } else if (machine.busy_tasks > 0 && cluster_.is_autoscaler_leader()) {
             // Its owner missed the word of the return, and still counts tasks on it.
-            send_(from, wire::MachinesTerminatedNotification{{machine.id}});
+            peers_.send(from, wire::MachinesTerminatedNotification{{machine.id}});
         }
     }
 }
@@ -150,7 +149,7 @@
         wire::MachinesDiscoveredNotification message;
         message.machines.assign(first, machines.end());
         machines.erase(first, machines.end());
-        for (const auto& node : settings_.all_nodes()) send_(node, message);
+        for (const auto& node : settings_.all_nodes()) peers_.send(node, message);
     }
 }
 
@@ -307,7 +306,7 @@
             !is_idle(report->beat, state_cache_.machine_type(machine.type)))
             continue;
         machine.drain_asked = now;
-        send_(report->owner, wire::DrainRequest{id});
+        peers_.send(report->owner, wire::DrainRequest{id});
     }
 }
 
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -13,6 +13,7 @@
 #include "base/settings.h"
 #include "cloud/cloud.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "policy/policy.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
@@ -26,9 +27,8 @@
 /// boots, and returns machines that are idle, silent or failed.
 class Autoscaler {
   public:
-    using SendPeer = autoscaler::SendPeer;
     Autoscaler(Env& env, const Settings& settings, const Policy& policy, StoreClient& store,
-               StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud, const SendPeer& send);
+               StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud, PeerChannel& peers);
 
     /// Begins to tick.
     void start();
@@ -78,7 +78,7 @@
     StateCache& state_cache_;
     ClusterCoordinator& cluster_;
     CloudClient& cloud_;
-    SendPeer send_;
+    PeerChannel& peers_;
     autoscaler::MachineInventory inventory_;
     autoscaler::Provisioner provisioner_;
     autoscaler::ReservationPlanner reservations_;
--- a/src/autoscaler/peer_messages.h
+++ b/src/autoscaler/peer_messages.h
@@ -1,4 +1,4 @@
-/// How the supplier's modules send messages to controllers.
+/// Messages of the autoscaler to controllers.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -8,9 +8,6 @@
 
 namespace zincdyke::autoscaler {
 
-/// Sends a message to another controller, or to this one.
-using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
-
 /// Lists of machines are split into messages of so many, well below the largest frame.
 constexpr std::size_t max_machines_per_message = 1000;
 
--- a/src/autoscaler/preemption.cpp
+++ b/src/autoscaler/preemption.cpp
@@ -12,8 +12,8 @@
 }  // namespace
 
 Preemptor::Preemptor(Env& env, const Policy& policy, const StateCache& model,
-                     const MachineInventory& inventory, SendPeer send)
-    : env_(env), policy_(policy), state_cache_(model), inventory_(inventory), send_(std::move(send)) {}
+                     const MachineInventory& inventory, PeerChannel& peers)
+    : env_(env), policy_(policy), state_cache_(model), inventory_(inventory), peers_(peers) {}
 
 void Preemptor::reset() {
     tracking_ = false;
@@ -103,7 +103,8 @@
         log::info("event=preempt task={} machine={} for_class={} loss_s={:.1f}", ref.str(), id.value(),
                   reservation.job_class, loss_s);
         if (report != nullptr)
-            send_(report->owner, wire::PreemptionRequest{ref.job, ref.task, state_cache_.task(ref).attempt});
+            peers_.send(report->owner,
+                        wire::PreemptionRequest{ref.job, ref.task, state_cache_.task(ref).attempt});
     }
 }
 
--- a/src/autoscaler/preemption.h
+++ b/src/autoscaler/preemption.h
@@ -10,6 +10,7 @@
 #include "autoscaler/peer_messages.h"
 #include "autoscaler/plan.h"
 #include "base/env.h"
+#include "cluster/peer_channel.h"
 #include "policy/policy.h"
 #include "sched/logic.h"
 #include "store/state_cache.h"
@@ -26,7 +27,7 @@
 class Preemptor {
   public:
     Preemptor(Env& env, const Policy& policy, const StateCache& model, const MachineInventory& inventory,
-              SendPeer send);
+              PeerChannel& peers);
 
     /// Forgets since when tasks are placed: this node isn't the supplier.
     void reset();
@@ -52,7 +53,7 @@
     const Policy& policy_;
     const StateCache& state_cache_;
     const MachineInventory& inventory_;
-    SendPeer send_;
+    PeerChannel& peers_;
     bool tracking_ = false;
     std::map<std::pair<TaskRef, Attempt>, SteadyTime> placed_since_;  // as this supplier saw it
     std::map<MachineId, SteadyTime> clearing_;                        // when it was asked
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -32,14 +32,14 @@
 
 Provisioner::Provisioner(Env& env, const Settings& settings, const Policy& policy,
                          const ClusterCoordinator& cluster, CloudClient& cloud, MachineInventory& inventory,
-                         SendPeer send)
+                         PeerChannel& peers)
     : env_(env),
       settings_(settings),
       policy_(policy),
       cluster_(cluster),
       cloud_(cloud),
       inventory_(inventory),
-      send_(std::move(send)) {}
+      peers_(peers) {}
 
 std::set<MachineKind> Provisioner::refused(SteadyTime now) const {
     std::set<MachineKind> kinds;
@@ -116,7 +116,7 @@
     }
     // The cloud's word that they are gone is proof for every owner.
     for (const auto& node : settings_.all_nodes())
-        send_(node, wire::MachinesTerminatedNotification{machines});
+        peers_.send(node, wire::MachinesTerminatedNotification{machines});
 }
 
 }  // namespace zincdyke::autoscaler
--- a/src/autoscaler/provisioner.h
+++ b/src/autoscaler/provisioner.h
@@ -12,6 +12,7 @@
 #include "base/settings.h"
 #include "cloud/cloud.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "policy/policy.h"
 #include "store/state_cache.h"
 
@@ -24,7 +25,7 @@
 class Provisioner {
   public:
     Provisioner(Env& env, const Settings& settings, const Policy& policy, const ClusterCoordinator& cluster,
-                CloudClient& cloud, MachineInventory& inventory, SendPeer send);
+                CloudClient& cloud, MachineInventory& inventory, PeerChannel& peers);
 
     /// Forgets the rentals under way: this node has just become the supplier.
     void reset() { renting_.clear(); }
@@ -53,7 +54,7 @@
     const ClusterCoordinator& cluster_;
     CloudClient& cloud_;
     MachineInventory& inventory_;
-    SendPeer send_;
+    PeerChannel& peers_;
     std::map<MachineKind, SteadyTime> refused_until_;
     std::map<MachineKind, std::uint32_t> renting_;
     std::uint64_t last_request_ = 0;
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -9,13 +9,13 @@
 
 ReservationPlanner::ReservationPlanner(Env& env, const Settings& settings, const Policy& policy,
                                        const StateCache& model, const MachineInventory& inventory,
-                                       const SendPeer& send)
+                                       PeerChannel& peers)
     : env_(env),
       settings_(settings),
       policy_(policy),
       state_cache_(model),
-      send_(send),
-      preemptor_(env, policy, model, inventory, send) {}
+      peers_(peers),
+      preemptor_(env, policy, model, inventory, peers) {}
 
 void ReservationPlanner::update(PlanInput& plan) {
     const WallTime now = env_.wall();
@@ -55,9 +55,9 @@
         for (auto& machine : machines) {
             message.machines.push_back(std::move(machine));
             if (message.machines.size() < max_machines_per_message) continue;
-            send_(node, std::exchange(message, wire::ReservationUpdate{false, {}}));
+            peers_.send(node, std::exchange(message, wire::ReservationUpdate{false, {}}));
         }
-        if (message.is_first || !message.machines.empty()) send_(node, std::move(message));
+        if (message.is_first || !message.machines.empty()) peers_.send(node, std::move(message));
     }
 }
 
--- a/src/autoscaler/reservations.h
+++ b/src/autoscaler/reservations.h
@@ -11,6 +11,7 @@
 #include "autoscaler/preemption.h"
 #include "base/env.h"
 #include "base/settings.h"
+#include "cluster/peer_channel.h"
 #include "policy/policy.h"
 #include "store/state_cache.h"
 
@@ -20,7 +21,7 @@
 class ReservationPlanner {
   public:
     ReservationPlanner(Env& env, const Settings& settings, const Policy& policy, const StateCache& model,
-                       const MachineInventory& inventory, const SendPeer& send);
+                       const MachineInventory& inventory, PeerChannel& peers);
 
     /// This node isn't the supplier.
     void reset() { preemptor_.reset(); }
@@ -36,7 +37,7 @@
     const Settings& settings_;
     const Policy& policy_;
     const StateCache& state_cache_;
-    SendPeer send_;
+    PeerChannel& peers_;
     Preemptor preemptor_;
     // What is kept for replicas of services is apart from what is kept for other work of their class.
     struct WorkKind {
--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -14,16 +14,15 @@
 }  // namespace
 
 ClusterCoordinator::ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store,
-                                       StateCache& model)
+                                       StateCache& model, ClusterObserver& observer)
     : env_(env),
       settings_(settings),
       store_(store),
       state_cache_(model),
+      observer_(observer),
       all_(settings.all_nodes()),
       // Lease and takeover fit inside a worker's lease, so that running tasks outlive their controller.
-      life_(std::clamp(seconds(settings.lease_s * 0.4), millis(1500), seconds(10))) {
-    state_cache_.on_membership_changed = [this] { changed(); };
-}
+      life_(std::clamp(seconds(settings.lease_s * 0.4), millis(1500), seconds(10))) {}
 
 void ClusterCoordinator::start() {
     acquire_session();
@@ -202,15 +201,13 @@
         pending_.shrink_to_fit();
         state_cache_.applied_revision = start;
         loading_ = false;
-        const bool first = !is_synced_;
         is_synced_ = true;
         log::info("event=state_read revision={} jobs={}", start.value(), state_cache_.jobs().size());
         ++watch_run_;
         stale_ = watch_now_ = false;
-        if (on_state_read) on_state_read(begun);
+        observer_.on_state_read(begun);
         watch();
-        changed();
-        if (first && on_first_sync) on_first_sync();
+        on_membership_changed();
     });
 }
 
@@ -233,7 +230,7 @@
 void ClusterCoordinator::take_news(const ListResult& news, SteadyTime sent) {
     for (const auto& item : news.items) state_cache_.apply(item);
     state_cache_.applied_revision = std::max(state_cache_.applied_revision, news.revision);
-    if (on_state_read) on_state_read(sent);
+    observer_.on_state_read(sent);
 }
 
 void ClusterCoordinator::watch() {
@@ -302,13 +299,13 @@
     }
 }
 
-void ClusterCoordinator::changed() {
+void ClusterCoordinator::on_membership_changed() {
     if (!is_synced_) return;
     const double even = 1.0 / static_cast<double>(std::max<std::size_t>(1, state_cache_.live_nodes().size()));
     store_.set_budget_share(even, write_share_ > 0 ? write_share_ : even);
     for (std::uint32_t k = 0; k < state_cache_.shards().size(); ++k) {
         if (term(k)) {
-            if (announced_.insert(k).second && on_leadership_acquired) on_leadership_acquired(k);
+            if (announced_.insert(k).second) observer_.on_leadership_acquired(k);
         } else if (announced_.erase(k) > 0) {
             log::info("event=part_lost part={} owner={} term={}", k, state_cache_.shards()[k].leader.value(),
                       state_cache_.shards()[k].term.value());
@@ -374,7 +371,7 @@
                       state_cache_.shards()[part].leader.value());
             // Not applied to the model here: the watch brings it after all that came before it. Perhaps it
             // has by now.
-            changed();
+            on_membership_changed();
         }
         // A claim without an answer that went through is seen as a record of ours without a claim, and is
         // claimed again under a term of its own.
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -9,6 +9,7 @@
 
 #include "base/env.h"
 #include "base/settings.h"
+#include "cluster/cluster_observer.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
 
@@ -16,8 +17,11 @@
 
 class ClusterCoordinator {
   public:
-    ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& model);
+    ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+                       ClusterObserver& observer);
     void start();
+    /// To be told by the state cache.
+    void on_membership_changed();
 
     // The model has been read in full and the watch goes on from there.
     bool is_synced() const { return is_synced_; }
@@ -58,11 +62,6 @@
     // the state service answers all who asked before it was sent. False when none was answered in time.
     void read_through(std::function<void(bool fresh)> done);
 
-    std::function<void(std::uint32_t part)> on_leadership_acquired;
-    std::function<void()> on_first_sync;
-    // What the state service held when it was asked, at `sent`, is in the model.
-    std::function<void(SteadyTime sent)> on_state_read;
-
   private:
     void acquire_session();
     void request_grant();
@@ -76,7 +75,6 @@
     void answer_reads(std::uint64_t before);
     Duration watch_pause() const;
     void reload();
-    void changed();
     void review();
     void claim(std::uint32_t part);
     void write_owner(std::uint32_t part, const NodeName& owner, std::function<void(CommitResult)> done);
@@ -85,6 +83,7 @@
     const Settings& settings_;
     StoreClient& store_;
     StateCache& state_cache_;
+    ClusterObserver& observer_;
     std::vector<NodeName> all_;
     std::uint64_t grant_ = 0;
     bool registered_ = false, registering_ = false, acquiring_ = false, renewing_ = false, loading_ = false,
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -30,12 +30,13 @@
 }
 
 JobsApi::JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-                 ClusterCoordinator& cluster)
+                 ClusterCoordinator& cluster, PeerChannel& peers)
     : env_(env),
       settings_(settings),
       store_(store),
       state_cache_(model),
       cluster_(cluster),
+      peers_(peers),
       finals_(static_cast<std::size_t>(std::max(1000.0, settings.memory_mb * 100))) {}
 
 bool JobsApi::ready() const { return cluster_.is_synced() && !state_cache_.machine_types().empty(); }
@@ -253,7 +254,8 @@
             if (r.outcome == Outcome::ok) {
                 state_cache_.apply({keys::job(id), txn.writes[0].value, r.revision});
                 log::info("event=job_cancelled job={} revision={}", id.value(), r.revision.value());
-                if (on_job_cancelled) on_job_cancelled(id);
+                for (const auto& seed : settings_.seeds)
+                    peers_.send(seed.node, wire::JobCancelledNotification{id});
                 return reply({200, wire::job_answer(id, wire::Phase::cancelled), -1});
             }
             // Done meanwhile, or unknown: look again rather than guess.
--- a/src/jobs/jobs_api.h
+++ b/src/jobs/jobs_api.h
@@ -6,6 +6,7 @@
 
 #include "base/env.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
 
@@ -31,11 +32,10 @@
 class JobsApi {
   public:
     JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-            ClusterCoordinator& cluster);
+            ClusterCoordinator& cluster, PeerChannel& peers);
     // Handles paths below /api/jobs; false when the path is none of them.
     bool handle(const HttpRequest& req, const Reply& reply);
     bool ready() const;
-    std::function<void(const JobId&)> on_job_cancelled;  // committed, and about to be told
 
   private:
     struct Found {
@@ -59,6 +59,7 @@
     StoreClient& store_;
     StateCache& state_cache_;
     ClusterCoordinator& cluster_;
+    PeerChannel& peers_;
     FinalCache finals_;
     std::size_t open_ = 0;
 };
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -20,16 +20,14 @@
 }  // namespace
 
 Relay::Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-             ClusterCoordinator& cluster, TaskCommitter& ledger, SendPeer send,
-             std::function<std::vector<NodeName>()> reachable)
+             ClusterCoordinator& cluster, TaskCommitter& ledger, PeerChannel& peers)
     : env_(env),
       settings_(settings),
       store_(store),
       state_cache_(model),
       cluster_(cluster),
       committer_(ledger),
-      send_(std::move(send)),
-      reachable_(std::move(reachable)) {}
+      peers_(peers) {}
 
 Relay::JobKind Relay::kind_of(const Job& j) {
     return {j.spec.job_class, sched::PlacementConstraints::of(j.spec)};
@@ -184,7 +182,7 @@
     if (w.stuck_since == SteadyTime{} || now - w.stuck_since < stuck_limit ||
         now - w.handed_over < stuck_limit)
         return false;
-    auto near = reachable_();
+    auto near = peers_.reachable_nodes();
     std::vector<NodeName> others;
     for (const auto& n : cluster_.live_nodes())
         if (std::find(near.begin(), near.end(), n) == near.end()) others.push_back(n);
@@ -229,7 +227,7 @@
     }
     // All members of a gang are asked for at once, or only those that are missing from one under way.
     if (tasks.empty() || (gang && tasks.size() != j.pending())) return false;
-    auto scorers = reachable_();
+    auto scorers = peers_.reachable_nodes();
     wire::PlacementRequest m;
     m.round = {settings_.node, cluster_.incarnation().value() * 1'000'000 + ++next_round_};
     m.job = j.spec.id;
@@ -243,7 +241,7 @@
     for (TaskIndex t : tasks) w.asked[t] = env_.now();
     w.not_before = env_.now() + millis(50);
     ++counts_.rounds;
-    for (const auto& s : scorers) send_(s, m);
+    for (const auto& s : scorers) peers_.send(s, m);
     return true;
 }
 
@@ -251,7 +249,7 @@
     Gathering& g = rounds_[m.round];
     if (g.decided) {
         // Too late for the choice: the room is freed at once.
-        send_(m.scorer, wire::PlacementDecision{m.round, m.job, {}});
+        peers_.send(m.scorer, wire::PlacementDecision{m.round, m.job, {}});
         return;
     }
     if (g.answered.empty()) {
@@ -288,9 +286,9 @@
         wire::PlacementDecision v{id, g.job, {}};
         if (auto y = yes.find(scorer); y != yes.end()) v.accepted = std::move(y->second);
         for (const auto& a : v.accepted) left.erase(a.task);
-        send_(scorer, std::move(v));
+        peers_.send(scorer, std::move(v));
     }
-    if (!left.empty()) send_(id.relay, wire::PlacementFailure{id, g.job, {left.begin(), left.end()}});
+    if (!left.empty()) peers_.send(id.relay, wire::PlacementFailure{id, g.job, {left.begin(), left.end()}});
 }
 
 void Relay::on_placement_failure(const wire::PlacementFailure& m) {
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -9,6 +9,7 @@
 
 #include "base/env.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "jobs/restart_backoff.h"
 #include "jobs/task_committer.h"
 #include "sched/logic.h"
@@ -20,10 +21,8 @@
 
 class Relay {
   public:
-    using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
     Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-          ClusterCoordinator& cluster, TaskCommitter& ledger, SendPeer send,
-          std::function<std::vector<NodeName>()> reachable);
+          ClusterCoordinator& cluster, TaskCommitter& ledger, PeerChannel& peers);
     void start();
     void on_job_changed(const JobId& id);
     void on_placement_response(const wire::PlacementResponse& m);
@@ -69,8 +68,7 @@
     StateCache& state_cache_;
     ClusterCoordinator& cluster_;
     TaskCommitter& committer_;
-    SendPeer send_;
-    std::function<std::vector<NodeName>()> reachable_;
+    PeerChannel& peers_;
     std::map<JobId, Waiting> waiting_;
     std::map<wire::RoundId, Gathering> rounds_;
     std::uint64_t next_round_ = 0;
--- a/src/jobs/task_committer.cpp
+++ b/src/jobs/task_committer.cpp
@@ -38,15 +38,13 @@
 }  // namespace
 
 TaskCommitter::TaskCommitter(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-                             ClusterCoordinator& cluster, SendPeer send,
-                             std::function<bool(const NodeName&)> near)
+                             ClusterCoordinator& cluster, PeerChannel& peers)
     : env_(env),
       settings_(settings),
       store_(store),
       state_cache_(model),
       cluster_(cluster),
-      send_(std::move(send)),
-      near_(std::move(near)),
+      peers_(peers),
       locks_(env, store, model, cluster, settings.node) {
     locks_.on_held = [this](const TeamName& team) {
         if (const LaneKey key{team, {}}; lanes_.contains(key)) schedule(key, Duration(0));
@@ -109,7 +107,7 @@
     op.since = env_.now();
     const Job* j = state_cache_.job(t.job);
     const NodeName home = j != nullptr ? cluster_.committer_of(*j) : settings_.node;
-    if (home == settings_.node || !near_(home)) return queue(t.job, std::move(op));
+    if (home == settings_.node || !peers_.is_reachable(home)) return queue(t.job, std::move(op));
     // What a late copy of this message says is judged again at its home, under the same term and attempt.
     const std::uint64_t request_id = ++next_request_id_;
     remote_.emplace(request_id, Remote{t.job, std::move(op), home, session_of(home), env_.now()});
@@ -128,9 +126,9 @@
             const Op& op = it->second.op;
             m.operations.push_back({static_cast<std::uint8_t>(op.event), op.task, op.attempt, op.machine,
                                     op.zone, op.term.value(), request_id});
-            if (m.operations.size() == most_sent) send_(to.first, std::exchange(m, {to.second, {}}));
+            if (m.operations.size() == most_sent) peers_.send(to.first, std::exchange(m, {to.second, {}}));
         }
-        if (!m.operations.empty()) send_(to.first, std::move(m));
+        if (!m.operations.empty()) peers_.send(to.first, std::move(m));
     }
 }
 
@@ -140,7 +138,7 @@
 }
 
 bool TaskCommitter::given_up(const Remote& r) const {
-    if (!near_(r.home) || session_of(r.home) != r.home_session) return true;
+    if (!peers_.is_reachable(r.home) || session_of(r.home) != r.home_session) return true;
     const Duration limit = r.op.event == TaskEvent::place ? start_answer_limit : end_answer_limit;
     return env_.now() - r.asked > limit;
 }
@@ -269,7 +267,7 @@
             if (bytes <= most_records) records.push_back(std::move(rec));
         }
     for (auto& [to, ops] : std::exchange(results_, {}))
-        send_(to, wire::CommitResponse{std::move(ops), records});
+        peers_.send(to, wire::CommitResponse{std::move(ops), records});
 }
 
 void TaskCommitter::on_commit_response(const wire::CommitResponse& m) {
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -11,6 +11,7 @@
 
 #include "base/env.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "jobs/team_locks.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
@@ -22,10 +23,8 @@
 
 class TaskCommitter {
   public:
-    using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
-    // `near` tells whether a peer answers and reaches the state service.
     TaskCommitter(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-                  ClusterCoordinator& cluster, SendPeer send, std::function<bool(const NodeName&)> near);
+                  ClusterCoordinator& cluster, PeerChannel& peers);
     void start();
     void on_commit_request(const NodeName& from, const wire::CommitRequest& m);
     void on_commit_response(const wire::CommitResponse& m);
@@ -151,8 +150,7 @@
     StoreClient& store_;
     StateCache& state_cache_;
     ClusterCoordinator& cluster_;
-    SendPeer send_;
-    std::function<bool(const NodeName&)> near_;
+    PeerChannel& peers_;
     TeamLocks locks_;
     std::map<LaneKey, Lane> lanes_;
     std::set<PageKey> pages_in_flight_;
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -22,8 +22,9 @@
 }
 }  // namespace
 
-StateCache::StateCache(const Settings& settings)
+StateCache::StateCache(const Settings& settings, StateObserver& observer)
     : settings_(settings),
+      observer_(observer),
       standard_page_size_(page_size_for(settings.state_limits)),
       safe_page_size_(page_size_for(settings.strictest_limits)),
       shards_(settings.size) {}
@@ -43,7 +44,7 @@
     orphaned_pages_.clear();
     known_formats_.clear();
     applied_revision = {};
-    if (on_jobs_changed) on_jobs_changed();
+    observer_.on_jobs_changed();
 }
 
 Revision StateCache::version(const std::string& key) const {
@@ -159,19 +160,19 @@
             live_nodes_[n] = item.version;
         else
             live_nodes_.erase(n);
-        if (on_membership_changed) on_membership_changed();
+        observer_.on_membership_changed();
     } else if (k.rfind("z/p/", 0) == 0) {
         std::size_t part = 0;
         for (std::size_t i = 4; i < k.size() && k[i] >= '0' && k[i] <= '9' && part < 100000; ++i)
             part = part * 10 + static_cast<std::size_t>(k[i] - '0');
         if (part < shards_.size() && item.value)
             shards_[part] = {NodeName(item.value->value("owner", "")), item.version};
-        if (on_membership_changed) on_membership_changed();
+        observer_.on_membership_changed();
     } else if (k.rfind("z/q/", 0) == 0) {
         if (item.value) team_lock_holders_[TeamName(k.substr(4))] = NodeName(item.value->value("node", ""));
     } else if (k == keys::autoscaler_leader) {
         autoscaler_leader_ = item.value ? NodeName(item.value->value("node", "")) : NodeName();
-        if (on_membership_changed) on_membership_changed();
+        observer_.on_membership_changed();
     } else if (k == keys::machine_types && item.value) {
         if (auto t = wire::types_from_json(*item.value)) machine_types_ = std::move(*t);
     }
@@ -195,8 +196,8 @@
         }
         for (const auto& key : written_pages(it->second)) orphaned_pages_.insert(key);
         jobs_.erase(it);
-        if (on_jobs_changed) on_jobs_changed();
-        if (on_job_changed) on_job_changed(id);
+        observer_.on_jobs_changed();
+        observer_.on_job_changed(id);
         return;
     }
     auto decoded = records::decode_job(*item.value);
@@ -204,7 +205,7 @@
         log::error("event=bad_record job={}", id.value());
         return;
     }
-    if (!jobs_.contains(id) && on_jobs_changed) on_jobs_changed();
+    if (!jobs_.contains(id)) observer_.on_jobs_changed();
     Job& j = jobs_[id];
     decoded->pages = std::move(j.pages);
     decoded->frozen_pages = std::move(j.frozen_pages);
@@ -216,14 +217,14 @@
     j.version = item.version;
     if (resized) {
         freeze_pages(j);
-        if (on_pages_resized) on_pages_resized(id);
+        observer_.on_pages_resized(id);
     }
     if (j.cancelled)
         known_cancelled_.insert(id);
     else
         j.cancelled = known_cancelled_.contains(id);
-    if (on_job_changed) on_job_changed(id);
-    if (j.cancelled && !was && on_job_cancelled) on_job_cancelled(id);
+    observer_.on_job_changed(id);
+    if (j.cancelled && !was) observer_.on_job_cancelled(id);
 }
 
 void StateCache::mark_cancelled(const JobId& id) {
@@ -233,8 +234,8 @@
     auto j = jobs_.find(id);
     if (j == jobs_.end() || j->second.cancelled) return;
     j->second.cancelled = true;
-    if (on_job_changed) on_job_changed(id);
-    if (on_job_cancelled) on_job_cancelled(id);
+    observer_.on_job_changed(id);
+    observer_.on_job_cancelled(id);
 }
 
 std::vector<std::string> StateCache::written_pages(const Job& j) const {
@@ -277,7 +278,7 @@
         apply_standard_page(it->second, n, item);
     else
         apply_small_page(it->second, n, item);
-    if (on_job_changed) on_job_changed(id);
+    observer_.on_job_changed(id);
 }
 
 void StateCache::apply_standard_page(Job& j, std::uint32_t n, const KeyUpdate& item) {
@@ -335,7 +336,7 @@
         format_level_ = std::max(format_level_, level);
     else
         known_formats_[NodeName(item.key.substr(4))] = level;
-    if (on_membership_changed) on_membership_changed();
+    observer_.on_membership_changed();
 }
 
 void StateCache::note_image(const MachineId& m, const wire::JobSpec& s, Revision at) {
@@ -376,12 +377,12 @@
                 m->second.erase(ref);
                 if (m->second.empty()) by_machine_.erase(m);
             }
-            if (on_placement_changed) on_placement_changed(p.tasks[i].machine);
+            observer_.on_placement_changed(p.tasks[i].machine);
         }
         if (is) {
             by_machine_[tasks[i].machine].insert(ref);
             note_image(tasks[i].machine, j.spec, version);
-            if (on_placement_changed) on_placement_changed(tasks[i].machine);
+            observer_.on_placement_changed(tasks[i].machine);
         }
     }
     p.tasks = std::move(tasks);
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -14,6 +14,7 @@
 #include "base/types.h"
 #include "store/job.h"
 #include "store/keys.h"
+#include "store/state_observer.h"
 #include "store/store_client.h"
 #include "wire/json_api.h"
 
@@ -30,7 +31,8 @@
 
 class StateCache {
   public:
-    explicit StateCache(const Settings& settings);
+    /// Both must outlive the cache.
+    StateCache(const Settings& settings, StateObserver& observer);
     // Takes over what was read under `key`; older than what is known: ignored.
     void apply(const KeyUpdate& item);
     void clear();
@@ -118,12 +120,6 @@
     // Pages whose job is over; their keys may be deleted.
     const std::set<std::string>& orphaned_pages() const { return orphaned_pages_; }
 
-    std::function<void(const JobId&)> on_job_changed;            // a job or one of its pages changed
-    std::function<void(const MachineId&)> on_placement_changed;  // what is placed on a machine changed
-    std::function<void(const JobId&)> on_pages_resized;          // a job's pages became smaller
-    std::function<void(const JobId&)> on_job_cancelled;          // a job became known to be cancelled
-    std::function<void()> on_jobs_changed;                       // a job came or went
-    std::function<void()> on_membership_changed;                 // nodes, parts or supplier changed
     bool has_pending_tasks() const;
     Revision applied_revision;  // everything up to this revision has been read
 
@@ -148,6 +144,7 @@
         Revision at;
     };
     const Settings& settings_;
+    StateObserver& observer_;
     std::uint32_t standard_page_size_, safe_page_size_;
     std::uint32_t format_level_ = 0;
     std::map<NodeName, std::uint32_t> known_formats_;
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -28,14 +28,14 @@
 
 WorkerManager::WorkerManager(Env& env, const Settings& settings, StateCache& model,
                              ClusterCoordinator& cluster, const CancellationWatermark& horizon,
-                             TaskCommitter& ledger, SendPeer send)
+                             TaskCommitter& ledger, PeerChannel& peers)
     : env_(env),
       settings_(settings),
       state_cache_(model),
       cluster_(cluster),
       cancellation_watermark_(horizon),
       committer_(ledger),
-      send_(std::move(send)) {}
+      peers_(peers) {}
 
 void WorkerManager::start() { sweep(); }
 
@@ -508,7 +508,8 @@
     if (freed_.size() > 1 || !first) return;
     env_.after(millis(25), [this] {
         for (const auto& [type, room] : std::exchange(freed_, {}))
-            for (const auto& n : settings_.all_nodes()) send_(n, wire::CapacityFreedNotification{type, room});
+            for (const auto& n : settings_.all_nodes())
+                peers_.send(n, wire::CapacityFreedNotification{type, room});
     });
 }
 
@@ -553,7 +554,7 @@
         counts_.offers += out.offers.size();
         hold(ask.round, ask.need, out.offers);
     }
-    send_(ask.gatherer, std::move(out));
+    peers_.send(ask.gatherer, std::move(out));
 }
 
 // Kept by the supplier for others. A supplier that is gone leaves no reservations behind.
@@ -626,17 +627,18 @@
         StartProgress progress;
         progress.queued = millis(env_.wall().value() - job->submitted.value());
         progress.assigned = env_.now();
-        committer_.commit_start(ref, a.machine, it->second.zone,
-                                [this, ref, round = v.round, m = a.machine, progress](bool placed) {
-                                    started(ref);
-                                    if (placed) {
-                                        note_committed(ref, m, progress);
-                                        return deliver_soon(m);
-                                    }
-                                    send_(round.relay, wire::PlacementFailure{round, ref.job, {ref.task}});
-                                });
+        committer_.commit_start(
+            ref, a.machine, it->second.zone,
+            [this, ref, round = v.round, m = a.machine, progress](bool placed) {
+                started(ref);
+                if (placed) {
+                    note_committed(ref, m, progress);
+                    return deliver_soon(m);
+                }
+                peers_.send(round.relay, wire::PlacementFailure{round, ref.job, {ref.task}});
+            });
     }
-    if (!again.empty()) send_(v.round.relay, wire::PlacementFailure{v.round, v.job, std::move(again)});
+    if (!again.empty()) peers_.send(v.round.relay, wire::PlacementFailure{v.round, v.job, std::move(again)});
 }
 
 // A start was committed: the machine is told by the answer that waits for it, or asked to check in for it.
@@ -700,7 +702,7 @@
     if (!empty(d.machine, m)) return;
     m.draining = true;
     m.drain_since = env_.now();
-    send_(from, wire::DrainResponse{d.machine});
+    peers_.send(from, wire::DrainResponse{d.machine});
 }
 
 void WorkerManager::on_machines_terminated(const wire::MachinesTerminatedNotification& g) {
--- a/src/workers/worker_manager.h
+++ b/src/workers/worker_manager.h
@@ -13,6 +13,7 @@
 #include "base/env.h"
 #include "cluster/cancellation_watermark.h"
 #include "cluster/cluster_coordinator.h"
+#include "cluster/peer_channel.h"
 #include "jobs/task_committer.h"
 #include "sched/logic.h"
 #include "store/state_cache.h"
@@ -24,9 +25,8 @@
 
 class WorkerManager {
   public:
-    using SendPeer = std::function<void(const NodeName&, wire::PeerMessage)>;
     WorkerManager(Env& env, const Settings& settings, StateCache& model, ClusterCoordinator& cluster,
-                  const CancellationWatermark& horizon, TaskCommitter& ledger, SendPeer send);
+                  const CancellationWatermark& horizon, TaskCommitter& ledger, PeerChannel& peers);
     void start();
 
     void handle_heartbeat(const wire::Heartbeat& r, const Reply& reply);
@@ -180,7 +180,7 @@
     ClusterCoordinator& cluster_;
     const CancellationWatermark& cancellation_watermark_;
     TaskCommitter& committer_;
-    SendPeer send_;
+    PeerChannel& peers_;
     std::unordered_map<MachineId, Machine> machines_;
     std::uint64_t room_epoch_ = 1;
     mutable bool room_unknown_ = false;  // some machine shows tasks of a job that has not been read yet
--- a/tests/model_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -1,6 +1,7 @@
 // The shared view: what is read in any order comes out the same.
 #include <gtest/gtest.h>
 
+#include "fake_state_observer.h"
 #include "story.h"
 
 namespace zincdyke::testing {
@@ -24,7 +25,8 @@
     };
     zincdyke::Settings settings;
     settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
-    zincdyke::StateCache m(settings);
+    FakeStateObserver observer;
+    zincdyke::StateCache m(settings, observer);
     m.apply(item(page));
     EXPECT_EQ(m.job(JobId(id_of(1))), nullptr);
     m.apply(item(job));
@@ -45,9 +47,8 @@
     const KeyUpdate item{job, w.store.data.at(job).first, Revision{w.store.data.at(job).second}};
     zincdyke::Settings settings;
     settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
-    zincdyke::StateCache m(settings);
-    int told = 0;
-    m.on_job_cancelled = [&](const JobId&) { ++told; };
+    FakeStateObserver observer;
+    zincdyke::StateCache m(settings, observer);
     m.apply(item);
     EXPECT_FALSE(m.job(JobId(id_of(1)))->cancelled);
     m.mark_cancelled(JobId(id_of(1)));
@@ -55,7 +56,7 @@
     m.apply({job, item.value,
              Revision{item.version.value() + 1}});  // handed over, by whoever had not read the cancellation
     EXPECT_TRUE(m.job(JobId(id_of(1)))->cancelled);
-    EXPECT_EQ(told, 1);
+    EXPECT_EQ(observer.cancelled_jobs, 1);
     m.clear();
     m.apply(item);
     EXPECT_TRUE(m.job(JobId(id_of(1)))->cancelled);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -6,6 +6,7 @@
 #include "base/settings.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/format_level.h"
+#include "fake_state_observer.h"
 #include "store/records.h"
 #include "story.h"
 #include "wire/peer_messages.h"
@@ -82,9 +83,10 @@
 // deploy/service.toml names as production and is linked against its library (StateCache::encode_job,
 // encode_page, wire::encode).
 TEST(Upgrade, RecordsAndFramesAreProductions) {
-    const StateCache m(limits(4, 4));
+    FakeStateObserver observer;
+    const StateCache m(limits(4, 4), observer);
     EXPECT_EQ(m.standard_page_size(), 92U);
-    EXPECT_EQ(StateCache(limits(8, 2)).standard_page_size(), 194U);
+    EXPECT_EQ(StateCache(limits(8, 2), observer).standard_page_size(), 194U);
     std::string why;
     zincdyke::Job j;
     j.spec = *zincdyke::wire::parse_job(
@@ -141,11 +143,12 @@
 }
 
 struct JobInModel {
+    FakeStateObserver observer;
     StateCache model;
     JobId id{"job-000001"};
     std::uint64_t revision = 0;
 
-    explicit JobInModel(const zincdyke::Settings& settings, std::uint32_t tasks) : model(settings) {
+    explicit JobInModel(const zincdyke::Settings& settings, std::uint32_t tasks) : model(settings, observer) {
         World w;
         zincdyke::Job j;
         std::string why;
