--- /dev/null
+++ b/src/store/frozen_pages.cpp
@@ -0,0 +1,37 @@
+#include "store/frozen_pages.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace zincdyke {
+
+std::vector<TaskState> tasks_in_frozen_pages(const Job& job, const PageLayout& layout,
+                                             std::uint32_t small_page) {
+    std::vector<TaskState> tasks(layout.tasks_in(small_page));
+    const TaskIndex first = layout.first_task(small_page);
+    const TaskIndex end = first + layout.tasks_in(small_page);
+    const PageRange range = layout.frozen_pages_of(small_page);
+    for (std::uint32_t number = range.first; number < range.end; ++number) {
+        const auto frozen = job.frozen_pages.find(number);
+        if (frozen == job.frozen_pages.end()) continue;
+        const TaskIndex frozen_first = layout.first_task_of_standard(number);
+        const TaskIndex frozen_end = frozen_first + layout.tasks_in_standard(number);
+        for (TaskIndex index = std::max(first, frozen_first); index < std::min(end, frozen_end); ++index)
+            tasks[index - first] = frozen->second.tasks.at(index - frozen_first);
+    }
+    return tasks;
+}
+
+void freeze_pages(Job& job, const PageLayout& layout) {
+    job.frozen_pages = std::move(job.pages);
+    job.pages.clear();
+    if (job.frozen_pages.empty()) return;
+    for (std::uint32_t number = 0; number < layout.page_count(); ++number) {
+        Page page;
+        page.tasks = tasks_in_frozen_pages(job, layout, number);
+        page.count();
+        job.pages[number] = std::move(page);
+    }
+}
+
+}  // namespace zincdyke
--- a/src/store/job.cpp
+++ b/src/store/job.cpp
@@ -5,12 +5,12 @@
 namespace zincdyke {
 
 void Page::count() {
-    const auto in = [&](TaskState::Status at) {
-        return static_cast<TaskIndex>(
-            std::count_if(tasks.begin(), tasks.end(), [&](const auto& t) { return t.status == at; }));
+    const auto count_of = [&](TaskState::Status status) {
+        return static_cast<TaskIndex>(std::count_if(
+            tasks.begin(), tasks.end(), [&](const TaskState& task) { return task.status == status; }));
     };
-    placed = in(TaskState::Status::placed);
-    done = in(TaskState::Status::done);
+    placed = count_of(TaskState::Status::placed);
+    done = count_of(TaskState::Status::done);
 }
 
 }  // namespace zincdyke
--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -1,26 +1,89 @@
 #include "store/keys.h"
 
-namespace zincdyke {
+#include <array>
+#include <charconv>
+
+namespace zincdyke::keys {
 namespace {
-constexpr std::size_t page_prefix_size = 4;  // "z/t/" and "z/r/"
+
+struct Prefix {
+    std::string_view text;
+    Kind kind;
+};
+constexpr std::string_view job_prefix = "z/j/";
+constexpr std::string_view standard_page_prefix = "z/t/";
+constexpr std::string_view small_page_prefix = "z/r/";
+constexpr std::string_view final_state_prefix = "f/";
+constexpr std::string_view node_prefix = "z/n/";
+constexpr std::string_view shard_prefix = "z/p/";
+constexpr std::string_view team_lock_prefix = "z/q/";
+constexpr std::string_view known_format_prefix = "z/v/";
+constexpr std::array<Prefix, 8> prefixes{{
+    {job_prefix, Kind::job},
+    {standard_page_prefix, Kind::standard_page},
+    {small_page_prefix, Kind::small_page},
+    {final_state_prefix, Kind::final_state},
+    {node_prefix, Kind::node},
+    {shard_prefix, Kind::shard},
+    {team_lock_prefix, Kind::team_lock},
+    {known_format_prefix, Kind::known_format},
+}};
+
+std::string join(std::string_view prefix, const std::string& name) { return std::string(prefix) + name; }
+
+std::string join(std::string_view prefix, const std::string& name, std::uint32_t number) {
+    return join(prefix, name) + "/" + std::to_string(number);
+}
+
+std::optional<std::uint32_t> number_in(std::string_view digits) {
+    std::uint32_t number = 0;
+    const char* const end = digits.data() + digits.size();
+    const auto result = std::from_chars(digits.data(), end, number);
+    if (result.ec != std::errc() || result.ptr != end) return std::nullopt;
+    return number;
+}
+
+// `rest` is "JOB/NUMBER".
+ParsedKey parse_page(Kind kind, std::string_view rest) {
+    const auto slash = rest.rfind('/');
+    if (slash == std::string_view::npos || slash == 0) return {kind, {}, std::nullopt};
+    return {kind, rest.substr(0, slash), number_in(rest.substr(slash + 1))};
 }
 
-namespace keys {
-std::string job(const JobId& id) { return "z/j/" + id.value(); }
-std::string page(const JobId& id, std::uint32_t n) { return "z/t/" + id.value() + "/" + std::to_string(n); }
-std::string small_page(const JobId& id, std::uint32_t n) {
-    return "z/r/" + id.value() + "/" + std::to_string(n);
+}  // namespace
+
+std::string job(const JobId& id) { return join(job_prefix, id.value()); }
+std::string page(const JobId& id, std::uint32_t number) {
+    return join(standard_page_prefix, id.value(), number);
 }
-std::string final_state(const JobId& id) { return "f/" + id.value(); }
-std::string node(const NodeName& n) { return "z/n/" + n.value(); }
-std::string shard(std::uint32_t k) { return "z/p/" + std::to_string(k); }
-std::string team_lock(const TeamName& t) { return "z/q/" + t.value(); }
-std::string known_format(const NodeName& n) { return "z/v/" + n.value(); }
+std::string small_page(const JobId& id, std::uint32_t number) {
+    return join(small_page_prefix, id.value(), number);
+}
+std::string final_state(const JobId& id) { return join(final_state_prefix, id.value()); }
+std::string node(const NodeName& name) { return join(node_prefix, name.value()); }
+std::string shard(std::uint32_t number) { return join(shard_prefix, std::to_string(number)); }
+std::string team_lock(const TeamName& name) { return join(team_lock_prefix, name.value()); }
+std::string known_format(const NodeName& name) { return join(known_format_prefix, name.value()); }
+
+ParsedKey parse(std::string_view key) {
+    if (key == autoscaler_leader) return {Kind::autoscaler, {}, std::nullopt};
+    if (key == machine_types) return {Kind::machine_type_list, {}, std::nullopt};
+    if (key == format_level) return {Kind::fleet_format, {}, std::nullopt};
+    for (const auto& [prefix, kind] : prefixes) {
+        if (!key.starts_with(prefix)) continue;
+        const std::string_view rest = key.substr(prefix.size());
+        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, rest);
+        if (kind == Kind::shard) return {kind, {}, number_in(rest)};
+        return {kind, rest, std::nullopt};
+    }
+    return {};
+}
+
+bool is_watched(std::string_view key) { return key.starts_with(watched_prefix); }
+
 JobId job_of_page(const std::string& key) {
-    if (key.rfind("z/t/", 0) != 0 && key.rfind("z/r/", 0) != 0) return {};
-    const auto slash = key.rfind('/');
-    return JobId(slash > page_prefix_size ? key.substr(page_prefix_size, slash - page_prefix_size) : "");
+    const ParsedKey parsed = parse(key);
+    return parsed.is_page() ? parsed.job() : JobId();
 }
-}  // namespace keys
 
-}  // namespace zincdyke
+}  // namespace zincdyke::keys
--- /dev/null
+++ b/src/store/page_layout.cpp
@@ -0,0 +1,51 @@
+#include "store/page_layout.h"
+
+#include <algorithm>
+
+#include "store/keys.h"
+
+namespace zincdyke {
+namespace {
+// The longest entry of a placed task: index, attempt, machine and zone with their punctuation.
+constexpr std::size_t max_entry_bytes = 40;
+// What else a commit's value takes.
+constexpr std::size_t page_overhead_bytes = 400;
+constexpr std::size_t min_page_size = 8;
+constexpr std::size_t max_page_size = 400;
+
+std::uint32_t divide_up(std::uint32_t amount, std::uint32_t size) { return (amount + size - 1) / size; }
+}  // namespace
+
+std::uint32_t page_size_for(const StateLimits& limits) {
+    return static_cast<std::uint32_t>(std::clamp<std::size_t>(
+        (limits.value_bytes() - page_overhead_bytes) / max_entry_bytes, min_page_size, max_page_size));
+}
+
+std::uint32_t PageLayout::page_count() const { return divide_up(task_count_, page_size()); }
+
+TaskIndex PageLayout::tasks_in(std::uint32_t page) const {
+    return std::min(page_size(), task_count_ - first_task(page));
+}
+
+std::uint32_t PageLayout::standard_page_count() const { return divide_up(task_count_, standard_size_); }
+
+TaskIndex PageLayout::tasks_in_standard(std::uint32_t page) const {
+    return std::min(standard_size_, task_count_ - first_task_of_standard(page));
+}
+
+PageRange PageLayout::frozen_pages_of(std::uint32_t small_page) const {
+    const TaskIndex first = first_task(small_page);
+    const TaskIndex last = first + tasks_in(small_page) - 1;
+    return {first / standard_size_, last / standard_size_ + 1};
+}
+
+PageRange PageLayout::small_pages_of(std::uint32_t frozen_page) const {
+    const TaskIndex first = first_task_of_standard(frozen_page);
+    return {page_of(first), divide_up(first + tasks_in_standard(frozen_page), page_size())};
+}
+
+std::string page_key(const Job& job, std::uint32_t page) {
+    return job.small_page_size != 0 ? keys::small_page(job.spec.id, page) : keys::page(job.spec.id, page);
+}
+
+}  // namespace zincdyke
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -1,6 +1,9 @@
 #include "store/records.h"
 
 #include <algorithm>
+#include <string>
+#include <string_view>
+#include <utility>
 
 #include "base/log.h"
 
@@ -9,9 +12,12 @@
 // Where a controller of an earlier version called a replica done, its attempt is lost. The next one is above
 // any that it may have had.
 constexpr Attempt above_lost_attempt = 1'000'000;
-constexpr int small_pages_layout = 1;  // in a job's record: its pages are of the size that the record names
+// In a job's record: its pages are of the size that the record names.
+constexpr int small_pages_layout = 1;
+constexpr std::size_t tasks_per_digit = 4;
 
-// Nothing when the record's pages are of a layout that this version doesn't know.
+// The page size that a job's record names; 0: it names none. Nothing when its pages are of a layout that this
+// version doesn't know.
 std::optional<std::uint32_t> small_page_size_in(const Json& record) {
     const auto pages = record.find("pages");
     if (pages == record.end()) return 0;
@@ -24,109 +30,161 @@
     return static_cast<std::uint32_t>(tasks);
 }
 
-std::optional<Job> decode_job_record(const Json& v) {
-    if (!v.is_object() || !v.contains("spec")) return std::nullopt;
-    auto spec = wire::spec_from_json(v["spec"]);
+std::optional<Job> decode_job_record(const Json& record) {
+    if (!record.is_object() || !record.contains("spec")) return std::nullopt;
+    auto spec = wire::spec_from_json(record["spec"]);
     if (!spec) return std::nullopt;
-    Job j;
-    j.spec = std::move(*spec);
-    j.submitted = WallTime{v.value("at", std::int64_t{0})};
-    j.relay = NodeName(v.value("relay", ""));
-    j.cancelled = v.value("x", false);
-    if (v.contains("pin")) j.assigned_zone = v["pin"].get<std::string>();
-    const auto small_page_size = small_page_size_in(v);
+    Job job;
+    job.spec = std::move(*spec);
+    job.submitted = WallTime{record.value("at", std::int64_t{0})};
+    job.relay = NodeName(record.value("relay", ""));
+    job.cancelled = record.value("x", false);
+    if (record.contains("pin")) job.assigned_zone = record["pin"].get<std::string>();
+    const auto small_page_size = small_page_size_in(record);
     if (!small_page_size) return std::nullopt;
-    j.small_page_size = *small_page_size;
-    return j;
+    job.small_page_size = *small_page_size;
+    return job;
 }
+
+int digit_value(char digit) { return digit <= '9' ? digit - '0' : digit - 'a' + 10; }
+
+// One bit for each task, four to a hex digit, the first in the lowest.
+std::string encode_done(const std::vector<TaskState>& tasks) {
+    std::string digits((tasks.size() + tasks_per_digit - 1) / tasks_per_digit, '0');
+    for (std::size_t i = 0; i < tasks.size(); ++i) {
+        if (tasks[i].status != TaskState::Status::done) continue;
+        char& digit = digits[i / tasks_per_digit];
+        const int bits = digit_value(digit) | (1 << (i % tasks_per_digit));
+        digit = "0123456789abcdef"[bits];
+    }
+    return digits;
+}
+
+void decode_done(const std::string& digits, bool is_service, std::vector<TaskState>& tasks) {
+    for (std::size_t i = 0; i < tasks.size() && i / tasks_per_digit < digits.size(); ++i) {
+        const int bits = digit_value(digits[i / tasks_per_digit]);
+        if ((bits >> (i % tasks_per_digit) & 1) == 0) continue;
+        // A replica is never done: it has to run again.
+        if (is_service)
+            tasks[i].attempt = above_lost_attempt;
+        else
+            tasks[i].status = TaskState::Status::done;
+    }
+}
+
+// Throws where the record can't be read.
+std::vector<TaskState> decode_page_record(const Json& record, bool is_service, std::size_t first,
+                                          TaskIndex count) {
+    std::vector<TaskState> tasks(count);
+    const auto task_of = [&](const Json& entry) -> TaskState& {
+        return tasks.at(entry.at(0).get<std::size_t>() - first);
+    };
+    if (record.contains("p"))
+        for (const auto& entry : record["p"]) {
+            TaskState& task = task_of(entry);
+            task = {TaskState::Status::placed, entry.at(1).get<Attempt>(),
+                    MachineId(entry.at(2).get<std::string>()), ""};
+            if (entry.size() > 3) task.zone = entry.at(3).get<std::string>();
+        }
+    if (record.contains("t"))
+        for (const auto& entry : record["t"]) task_of(entry).attempt = entry.at(1).get<Attempt>();
+    if (record.contains("d")) decode_done(record["d"].get_ref<const std::string&>(), is_service, tasks);
+    return tasks;
+}
+
+NodeName node_in(const Json& record, const char* field) { return NodeName(record.value(field, "")); }
+
 }  // namespace
 
 Json encode_page(const std::vector<TaskState>& tasks, std::size_t first) {
     Json placed = Json::array(), tried = Json::array();
-    std::string done((tasks.size() + 3) / 4, '0');
-    bool any_done = false;
+    bool is_any_done = false;
     for (std::size_t i = 0; i < tasks.size(); ++i) {
-        const TaskState& t = tasks[i];
+        const TaskState& task = tasks[i];
         const std::size_t index = i + first;
-        if (t.status == TaskState::Status::placed) {
-            Json e = {index, t.attempt, t.machine.value()};
-            if (!t.zone.empty()) e.push_back(t.zone);
-            placed.push_back(std::move(e));
-        } else if (t.status == TaskState::Status::done) {
-            any_done = true;
-            char& c = done[i / 4];
-            int digit = (c <= '9' ? c - '0' : c - 'a' + 10) | (1 << (i % 4));
-            c = "0123456789abcdef"[digit];
-        } else if (t.attempt > 0) {
-            tried.push_back({index, t.attempt});
+        if (task.status == TaskState::Status::placed) {
+            Json entry = {index, task.attempt, task.machine.value()};
+            if (!task.zone.empty()) entry.push_back(task.zone);
+            placed.push_back(std::move(entry));
+        } else if (task.status == TaskState::Status::done) {
+            is_any_done = true;
+        } else if (task.attempt > 0) {
+            tried.push_back({index, task.attempt});
         }
     }
-    Json v = Json::object();
-    if (!placed.empty()) v["p"] = std::move(placed);
-    if (!tried.empty()) v["t"] = std::move(tried);
-    if (any_done) v["d"] = std::move(done);
-    return v;
+    Json record = Json::object();
+    if (!placed.empty()) record["p"] = std::move(placed);
+    if (!tried.empty()) record["t"] = std::move(tried);
+    if (is_any_done) record["d"] = encode_done(tasks);
+    return record;
 }
 
-std::optional<std::vector<TaskState>> decode_page(const Json& v, const Job& j, std::size_t first,
+std::optional<std::vector<TaskState>> decode_page(const Json& record, const Job& job, std::size_t first,
                                                   TaskIndex count) {
-    std::vector<TaskState> tasks(count);
-    const bool is_service = j.spec.is_service();
     try {
-        auto slot = [&](const Json& e) -> TaskState& { return tasks.at(e.at(0).get<std::size_t>() - first); };
-        if (v.contains("p"))
-            for (const auto& e : v["p"]) {
-                TaskState& t = slot(e);
-                t = {TaskState::Status::placed, e.at(1).get<Attempt>(), MachineId(e.at(2).get<std::string>()),
-                     ""};
-                if (e.size() > 3) t.zone = e.at(3).get<std::string>();
-            }
-        if (v.contains("t"))
-            for (const auto& e : v["t"]) slot(e).attempt = e.at(1).get<Attempt>();
-        if (v.contains("d")) {
-            const auto& hex = v["d"].get_ref<const std::string&>();
-            for (std::size_t i = 0; i < tasks.size() && i / 4 < hex.size(); ++i) {
-                char c = hex[i / 4];
-                int digit = c <= '9' ? c - '0' : c - 'a' + 10;
-                if ((digit >> (i % 4) & 1) == 0) continue;
-                // A replica is never done: it has to run again.
-                if (is_service)
-                    tasks[i].attempt = above_lost_attempt;
-                else
-                    tasks[i].status = TaskState::Status::done;
-            }
-        }
-    } catch (const std::exception& e) {
-        log::error("event=bad_record job={} first_task={} why={}", j.spec.id.value(), first, e.what());
+        return decode_page_record(record, job.spec.is_service(), first, count);
+    } catch (const std::exception& error) {
+        log::error("event=invalid_record job={} first_task={} reason={}", job.spec.id.value(), first,
+                   error.what());
         return std::nullopt;
     }
-    return tasks;
 }
 
-Json encode_job(const Job& j, const std::vector<wire::MachineType>& types, std::size_t most_bytes) {
-    Json v = {{"spec", wire::spec_to_json(j.spec)}, {"at", j.submitted.value()}, {"relay", j.relay.value()}};
-    if (j.cancelled) v["x"] = true;
-    if (j.assigned_zone) v["pin"] = *j.assigned_zone;
-    if (j.small_page_size != 0) v["pages"] = {{"layout", small_pages_layout}, {"size", j.small_page_size}};
-    if (v.dump().size() <= most_bytes) return v;
-    // Accepted under larger limits, it must still be possible to cancel it and to hand it on. Only the list
-    // of allowed types can be so long; it need not name what no cloud rents, nor anything twice.
-    if (!j.spec.types || types.empty()) return v;
-    wire::JobSpec spec = j.spec;
+Json encode_job(const Job& job, const std::vector<wire::MachineType>& types, std::size_t max_bytes) {
+    Json record = {
+        {"spec", wire::spec_to_json(job.spec)}, {"at", job.submitted.value()}, {"relay", job.relay.value()}};
+    if (job.cancelled) record["x"] = true;
+    if (job.assigned_zone) record["pin"] = *job.assigned_zone;
+    if (job.small_page_size != 0)
+        record["pages"] = {{"layout", small_pages_layout}, {"size", job.small_page_size}};
+    if (record.dump().size() <= max_bytes) return record;
+    // Accepted under larger limits, it must still be possible to cancel it and to change its relay. Only the
+    // list of allowed types can be so long; it need not name what no cloud has, nor anything twice.
+    if (!job.spec.types || types.empty()) return record;
+    wire::JobSpec spec = job.spec;
     spec.types->clear();
     for (const auto& known : types)
-        if (std::find(j.spec.types->begin(), j.spec.types->end(), known.name) != j.spec.types->end())
+        if (std::find(job.spec.types->begin(), job.spec.types->end(), known.name) != job.spec.types->end())
             spec.types->push_back(known.name);
-    v["spec"] = wire::spec_to_json(spec);
-    return v;
+    record["spec"] = wire::spec_to_json(spec);
+    return record;
 }
 
-std::optional<Job> decode_job(const Json& v) {
+std::optional<Job> decode_job(const Json& record) {
     try {
-        return decode_job_record(v);
+        return decode_job_record(record);
     } catch (const Json::exception&) {
         return std::nullopt;
     }
 }
 
+Json encode_shard_leader(const NodeName& leader, Revision incarnation) {
+    return {{"owner", leader.value()}, {"inc", incarnation.value()}};
+}
+NodeName decode_shard_leader(const Json& record) { return node_in(record, "owner"); }
+
+Json encode_team_lock_holder(const NodeName& holder) { return {{"node", holder.value()}}; }
+NodeName decode_team_lock_holder(const Json& record) { return node_in(record, "node"); }
+
+Json encode_autoscaler_leader(const NodeName& leader) { return {{"node", leader.value()}}; }
+NodeName decode_autoscaler_leader(const Json& record) { return node_in(record, "node"); }
+
+Json encode_format_level(std::uint32_t level) { return {{"format", level}}; }
+
+std::optional<std::uint32_t> decode_format_level(const Json& record) {
+    if (!record.is_object()) return std::nullopt;
+    const auto format = record.find("format");
+    if (format == record.end() || !format->is_number_unsigned()) return std::nullopt;
+    return format->get<std::uint32_t>();
+}
+
+Json encode_final_state(const FinalState& state) {
+    if (!state.is_done) return {{"s", "withdrawn"}};
+    return {{"s", "done"}, {"n", state.tasks}};
+}
+
+FinalState decode_final_state(const Json& record) {
+    return {record.value("s", "") == "done", record.value("n", std::int64_t{0})};
+}
+
 }  // namespace zincdyke::records
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -1,401 +1,306 @@
 #include "store/state_cache.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
+#include <utility>
 
 #include "base/log.h"
+#include "store/frozen_pages.h"
 #include "store/records.h"
 
 namespace zincdyke {
 
-namespace {
-// The longest entry of a placed task: index, attempt, machine and zone with their punctuation.
-constexpr std::size_t entry_bytes = 40, page_overhead = 400;
-constexpr std::size_t most_called_off = 20'000;
-constexpr std::size_t most_image_holders = 8192, most_images = 48;
-
-// Tasks whose entries surely fit a value of that size.
-std::uint32_t page_size_for(const StateLimits& limits) {
-    return static_cast<std::uint32_t>(
-        std::clamp<std::size_t>((limits.value_bytes() - page_overhead) / entry_bytes, 8, 400));
-}
-}  // namespace
-
 StateCache::StateCache(const Settings& settings, StateObserver& observer)
     : settings_(settings),
       observer_(observer),
       standard_page_size_(page_size_for(settings.state_limits)),
       safe_page_size_(page_size_for(settings.strictest_limits)),
-      shards_(settings.size) {}
+      team_quotas_(settings),
+      membership_(settings.size) {}
 
 void StateCache::clear() {
     versions_.clear();
-    present_.clear();
     jobs_.clear();
-    by_machine_.clear();
-    shards_.assign(settings_.size, Shard{});
-    live_nodes_.clear();
-    team_lock_holders_.clear();
-    placed_by_team_.clear();
+    tasks_by_machine_.clear();
+    membership_.clear();
+    team_quotas_.clear();
     ++generation_;
-    autoscaler_leader_ = {};
     machine_types_.clear();
     orphaned_pages_.clear();
-    known_formats_.clear();
+    format_levels_.clear();
     applied_revision = {};
     observer_.on_jobs_changed();
 }
 
-Revision StateCache::version(const std::string& key) const {
-    auto it = present_.find(key);
-    return it != present_.end() && it->second ? versions_.at(key) : Revision{};
-}
-
 const Job* StateCache::job(const JobId& id) const {
-    auto it = jobs_.find(id);
-    return it == jobs_.end() ? nullptr : &it->second;
-}
-
-TaskState StateCache::task(const TaskRef& t) const {
-    const Job* j = job(t.job);
-    if (j == nullptr) return {};
-    auto p = j->pages.find(page_of(*j, t.task));
-    std::size_t at = t.task % page_size(*j);
-    return p == j->pages.end() || at >= p->second.tasks.size() ? TaskState{} : p->second.tasks[at];
+    const auto found = jobs_.find(id);
+    return found == jobs_.end() ? nullptr : &found->second;
 }
 
-const std::set<TaskRef>& StateCache::tasks_on(const MachineId& m) const {
-    static const std::set<TaskRef> none;
-    auto it = by_machine_.find(m);
-    return it == by_machine_.end() ? none : it->second;
+TaskState StateCache::task(const TaskRef& task) const {
+    const Job* const known = job(task.job);
+    if (known == nullptr) return {};
+    const PageLayout pages = layout(*known);
+    const auto page = known->pages.find(pages.page_of(task.task));
+    if (page == known->pages.end()) return {};
+    const std::size_t position = pages.position_in_page(task.task);
+    return position < page->second.tasks.size() ? page->second.tasks[position] : TaskState{};
 }
 
-QuotaUsage StateCache::quota_usage(const TeamName& t) const {
-    auto it = placed_by_team_.find(t);
-    return it != placed_by_team_.end() ? it->second : QuotaUsage{};
-}
-
-const NodeName& StateCache::team_lock_holder(const TeamName& t) const {
-    static const NodeName none;
-    auto it = team_lock_holders_.find(t);
-    return it != team_lock_holders_.end() ? it->second : none;
+bool StateCache::has_pending_tasks() const {
+    return std::any_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
+        return !entry.second.cancelled && entry.second.pending() > 0;
+    });
 }
 
-const Team* StateCache::team_limits(const TeamName& t) const {
-    auto it = settings_.teams.find(t);
-    return it == settings_.teams.end() ? nullptr : &it->second;
+std::optional<std::string> StateCache::required_zone(const Job& job) const {
+    const bool is_free = job.spec.one_zone && !job.spec.zone && job.placed == 0 &&
+                         pages_named_for_zone(job) <= most_free_pages;
+    return is_free ? std::nullopt : job.assigned_zone;
 }
 
-bool StateCache::fits_team_quota(const TeamName& t, const Resources& need, TaskIndex tasks) const {
-    const Team* s = team_limits(t);
-    if (s == nullptr) return false;
-    QuotaUsage u = quota_usage(t);
-    auto n = static_cast<std::int64_t>(tasks);
-    return (s->cpu_max == 0 || u.cpu + need.cpu * n <= s->cpu_max) &&
-           (s->gpu_max == 0 || u.gpu + need.gpu * n <= s->gpu_max);
+std::size_t StateCache::pages_named_for_zone(const Job& job) const {
+    const PageLayout pages = layout(job);
+    return pages.page_count() + (pages.has_small_pages() ? pages.standard_page_count() : 0);
 }
 
 const wire::MachineType* StateCache::machine_type(const std::string& name) const {
-    auto it = std::find_if(machine_types_.begin(), machine_types_.end(),
-                           [&](const auto& t) { return t.name == name; });
-    return it == machine_types_.end() ? nullptr : &*it;
-}
-
-bool StateCache::has_pending_tasks() const {
-    return std::any_of(jobs_.begin(), jobs_.end(),
-                       [](const auto& j) { return !j.second.cancelled && j.second.pending() > 0; });
-}
-
-std::uint32_t StateCache::shard_of(const MachineId& m) const {
-    return static_cast<std::uint32_t>(XXH64(m.value().data(), m.value().size(), 0) % shards_.size());
+    const auto found = std::find_if(machine_types_.begin(), machine_types_.end(),
+                                    [&](const auto& type) { return type.name == name; });
+    return found == machine_types_.end() ? nullptr : &*found;
 }
 
-TaskIndex StateCache::tasks_in(const Job& j, std::uint32_t page) const {
-    return std::min(page_size(j), j.spec.tasks - page * page_size(j));
+std::vector<Condition> StateCache::page_conditions(const Job& job, std::uint32_t page) const {
+    const std::string key = page_key(job, page);
+    std::vector<Condition> conditions{{key, version(key)}};
+    const PageLayout pages = layout(job);
+    if (!pages.has_small_pages() || versions_.exists(key)) return conditions;
+    const PageRange frozen = pages.frozen_pages_of(page);
+    for (std::uint32_t number = frozen.first; number < frozen.end; ++number) {
+        std::string frozen_key = keys::page(job.spec.id, number);
+        const Revision frozen_version = version(frozen_key);
+        conditions.push_back({std::move(frozen_key), frozen_version});
+    }
+    return conditions;
 }
 
-std::string StateCache::page_key(const Job& j, std::uint32_t page) {
-    return j.small_page_size != 0 ? keys::small_page(j.spec.id, page) : keys::page(j.spec.id, page);
+std::vector<TaskState> StateCache::page_tasks(const Job& job, std::uint32_t page) const {
+    const auto found = job.pages.find(page);
+    return found != job.pages.end() ? found->second.tasks : std::vector<TaskState>(tasks_in(job, page));
 }
 
-bool StateCache::is_written(const std::string& key) const { return version(key) != Revision{}; }
-
-std::vector<Condition> StateCache::page_conditions(const Job& j, std::uint32_t page) const {
-    const std::string key = page_key(j, page);
-    std::vector<Condition> conditions{{key, version(key)}};
-    if (j.small_page_size == 0 || is_written(key)) return conditions;
-    const std::uint32_t first = page * j.small_page_size;
-    const std::uint32_t last = first + tasks_in(j, page) - 1;
-    for (std::uint32_t n = first / standard_page_size_; n <= last / standard_page_size_; ++n)
-        conditions.push_back({keys::page(j.spec.id, n), version(keys::page(j.spec.id, n))});
-    return conditions;
+std::vector<std::string> StateCache::written_pages(const Job& job) const {
+    std::vector<std::string> written;
+    const auto add = [&](std::string key) {
+        if (versions_.exists(key)) written.push_back(std::move(key));
+    };
+    for (const auto& [number, page] : job.pages) add(page_key(job, number));
+    for (const auto& [number, page] : job.frozen_pages) add(keys::page(job.spec.id, number));
+    return written;
 }
 
-std::vector<TaskState> StateCache::page_tasks(const Job& j, std::uint32_t page) const {
-    auto it = j.pages.find(page);
-    return it != j.pages.end() ? it->second.tasks : std::vector<TaskState>(tasks_in(j, page));
+Json StateCache::encode_job(const Job& job) const {
+    return records::encode_job(job, machine_types_, settings_.strictest_limits.value_bytes());
 }
 
-Json StateCache::encode_job(const Job& j) const {
-    return records::encode_job(j, machine_types_, settings_.strictest_limits.value_bytes());
+void StateCache::apply(const KeyUpdate& item) {
+    if (!versions_.advance(item)) return;
+    const keys::ParsedKey key = keys::parse(std::string_view(item.key));
+    switch (key.kind) {
+        case keys::Kind::job:
+            apply_job(key.job(), item);
+            break;
+        case keys::Kind::standard_page:
+        case keys::Kind::small_page:
+            apply_page(key, item);
+            break;
+        case keys::Kind::known_format:
+        case keys::Kind::fleet_format:
+            apply_format(key, item);
+            break;
+        case keys::Kind::node:
+        case keys::Kind::shard:
+        case keys::Kind::autoscaler:
+            apply_membership(key, item);
+            break;
+        case keys::Kind::team_lock:
+            if (item.value)
+                team_quotas_.set_lock_holder(key.team(), records::decode_team_lock_holder(*item.value));
+            break;
+        case keys::Kind::machine_type_list:
+            if (!item.value) break;
+            if (auto types = wire::types_from_json(*item.value)) machine_types_ = std::move(*types);
+            break;
+        case keys::Kind::final_state:
+        case keys::Kind::other:
+            break;
+    }
+    if (!item.value) versions_.drop_deleted(applied_revision);
 }
 
-void StateCache::apply(const KeyUpdate& item) {
-    auto known = versions_.find(item.key);
-    // The watch trails behind this node's own commits, and lists may be older than either.
-    if (known != versions_.end() && item.version <= known->second) return;
-    versions_[item.key] = item.version;
-    present_[item.key] = item.value.has_value();
-    const std::string& k = item.key;
-    if (k.rfind("z/j/", 0) == 0) {
-        apply_job(JobId(k.substr(4)), item);
-    } else if (k.rfind("z/t/", 0) == 0 || k.rfind("z/r/", 0) == 0) {
-        apply_page(item);
-    } else if (k.rfind("z/v/", 0) == 0 || k == keys::format_level) {
-        apply_format(item);
-    } else if (k.rfind("z/n/", 0) == 0) {
-        NodeName n(k.substr(4));
+void StateCache::apply_membership(const keys::ParsedKey& key, const KeyUpdate& item) {
+    if (key.kind == keys::Kind::node) {
         if (item.value)
-            live_nodes_[n] = item.version;
+            membership_.set_live(key.node(), item.version);
         else
-            live_nodes_.erase(n);
-        observer_.on_membership_changed();
-    } else if (k.rfind("z/p/", 0) == 0) {
-        std::size_t part = 0;
-        for (std::size_t i = 4; i < k.size() && k[i] >= '0' && k[i] <= '9' && part < 100000; ++i)
-            part = part * 10 + static_cast<std::size_t>(k[i] - '0');
-        if (part < shards_.size() && item.value)
-            shards_[part] = {NodeName(item.value->value("owner", "")), item.version};
-        observer_.on_membership_changed();
-    } else if (k.rfind("z/q/", 0) == 0) {
-        if (item.value) team_lock_holders_[TeamName(k.substr(4))] = NodeName(item.value->value("node", ""));
-    } else if (k == keys::autoscaler_leader) {
-        autoscaler_leader_ = item.value ? NodeName(item.value->value("node", "")) : NodeName();
-        observer_.on_membership_changed();
-    } else if (k == keys::machine_types && item.value) {
-        if (auto t = wire::types_from_json(*item.value)) machine_types_ = std::move(*t);
-    }
-    if (!item.value && versions_.size() > 4096) {
-        // Versions of deleted keys guard against older news only; once the watch is past them they can go.
-        std::erase_if(versions_, [&](const auto& e) {
-            bool drop = e.second < applied_revision && !present_.at(e.first);
-            if (drop) present_.erase(e.first);
-            return drop;
-        });
+            membership_.set_gone(key.node());
+    } else if (key.kind == keys::Kind::shard) {
+        if (item.value && key.number)
+            membership_.set_shard(*key.number, {records::decode_shard_leader(*item.value), item.version});
+    } else {
+        membership_.set_autoscaler_leader(item.value ? records::decode_autoscaler_leader(*item.value)
+                                                     : NodeName());
     }
+    observer_.on_membership_changed();
+}
+
+void StateCache::apply_format(const keys::ParsedKey& key, const KeyUpdate& item) {
+    if (!item.value) return;
+    const std::optional<std::uint32_t> level = records::decode_format_level(*item.value);
+    if (!level) return;
+    if (key.kind == keys::Kind::fleet_format)
+        format_levels_.raise_fleet_level(*level);
+    else
+        format_levels_.set_known(key.node(), *level);
+    observer_.on_membership_changed();
 }
 
 void StateCache::apply_job(const JobId& id, const KeyUpdate& item) {
-    if (!item.value) {
-        known_cancelled_.erase(id);
-        auto it = jobs_.find(id);
-        if (it == jobs_.end()) return;
-        for (auto& [n, p] : it->second.pages) {
-            set_page(it->second, n, std::vector<TaskState>(p.tasks.size()), p.version);
-        }
-        for (const auto& key : written_pages(it->second)) orphaned_pages_.insert(key);
-        jobs_.erase(it);
-        observer_.on_jobs_changed();
-        observer_.on_job_changed(id);
-        return;
-    }
+    if (!item.value) return remove_job(id);
     auto decoded = records::decode_job(*item.value);
     if (!decoded) {
-        log::error("event=bad_record job={}", id.value());
+        log::error("event=invalid_record job={}", id.value());
         return;
     }
     if (!jobs_.contains(id)) observer_.on_jobs_changed();
-    Job& j = jobs_[id];
-    decoded->pages = std::move(j.pages);
-    decoded->frozen_pages = std::move(j.frozen_pages);
-    decoded->placed = j.placed;
-    decoded->done = j.done;
-    const bool was = j.cancelled;
-    const bool resized = j.version != Revision{} && j.small_page_size != decoded->small_page_size;
-    j = std::move(*decoded);
-    j.version = item.version;
-    if (resized) {
-        freeze_pages(j);
+    Job& job = jobs_[id];
+    const bool was_cancelled = job.cancelled;
+    const bool is_resized = job.version != Revision{} && job.small_page_size != decoded->small_page_size;
+    decoded->pages = std::move(job.pages);
+    decoded->frozen_pages = std::move(job.frozen_pages);
+    decoded->placed = job.placed;
+    decoded->done = job.done;
+    job = std::move(*decoded);
+    job.version = item.version;
+    if (is_resized) {
+        freeze_pages(job, layout(job));
         observer_.on_pages_resized(id);
     }
-    if (j.cancelled)
-        known_cancelled_.insert(id);
+    if (job.cancelled)
+        cancelled_jobs_.add(id);
     else
-        j.cancelled = known_cancelled_.contains(id);
+        job.cancelled = cancelled_jobs_.contains(id);
+    observer_.on_job_changed(id);
+    if (job.cancelled && !was_cancelled) observer_.on_job_cancelled(id);
+}
+
+void StateCache::remove_job(const JobId& id) {
+    cancelled_jobs_.remove(id);
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end()) return;
+    Job& job = found->second;
+    for (auto& [number, page] : job.pages)
+        set_page(job, number, std::vector<TaskState>(page.tasks.size()), page.version);
+    for (const auto& key : written_pages(job)) orphaned_pages_.add(key);
+    jobs_.erase(found);
+    observer_.on_jobs_changed();
     observer_.on_job_changed(id);
-    if (j.cancelled && !was) observer_.on_job_cancelled(id);
 }
 
 void StateCache::mark_cancelled(const JobId& id) {
-    if (!known_cancelled_.insert(id).second) return;
-    if (known_cancelled_.size() > most_called_off)
-        std::erase_if(known_cancelled_, [&](const auto& c) { return !jobs_.contains(c); });
-    auto j = jobs_.find(id);
-    if (j == jobs_.end() || j->second.cancelled) return;
-    j->second.cancelled = true;
+    if (!cancelled_jobs_.add(id)) return;
+    cancelled_jobs_.drop_unknown([&](const JobId& cancelled) { return jobs_.contains(cancelled); });
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end() || found->second.cancelled) return;
+    found->second.cancelled = true;
     observer_.on_job_changed(id);
     observer_.on_job_cancelled(id);
 }
 
-std::vector<std::string> StateCache::written_pages(const Job& j) const {
-    std::vector<std::string> written;
-    const auto add = [&](const std::string& key) {
-        if (is_written(key)) written.push_back(key);
-    };
-    for (const auto& [n, page] : j.pages) add(page_key(j, n));
-    for (const auto& [n, page] : j.frozen_pages) add(keys::page(j.spec.id, n));
-    return written;
-}
-
-// Lets a key be taken over again when it comes again, though no newer.
-void StateCache::forget_version(const std::string& key) {
-    versions_.erase(key);
-    present_.erase(key);
-}
-
-void StateCache::apply_page(const KeyUpdate& item) {
-    const JobId id = keys::job_of_page(item.key);
-    if (id.empty()) return;
-    std::uint32_t n = 0;
-    for (std::size_t i = item.key.rfind('/') + 1; i < item.key.size() && n < 1'000'000; ++i)
-        n = n * 10 + static_cast<std::uint32_t>(item.key[i] - '0');
-    auto it = jobs_.find(id);
+void StateCache::apply_page(const keys::ParsedKey& key, const KeyUpdate& item) {
+    if (key.name.empty()) return;
     if (!item.value) {
-        orphaned_pages_.erase(item.key);
+        orphaned_pages_.remove(item.key);
         return;  // pages go with their job
     }
-    if (it == jobs_.end()) {
+    const JobId id = key.job();
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end()) {
         // Perhaps only its job is still to come: a list's later answers are newer than its first ones, and
-        // the watch brings both from there on. Kept as known, the page was skipped when it came again, and
-        // its tasks were taken for pending.
-        forget_version(item.key);
-        orphaned_pages_.insert(item.key);
+        // the watch brings both from there on. With its version known the page would be skipped when it comes
+        // again, and its tasks be taken for pending (StateCache.PageBeforeItsJob).
+        versions_.forget(item.key);
+        orphaned_pages_.add(item.key);
         return;
     }
-    orphaned_pages_.erase(item.key);
-    if (item.key.rfind("z/t/", 0) == 0)
-        apply_standard_page(it->second, n, item);
-    else
-        apply_small_page(it->second, n, item);
+    orphaned_pages_.remove(item.key);
+    if (key.number && key.kind == keys::Kind::standard_page)
+        apply_standard_page(found->second, *key.number, item);
+    else if (key.number)
+        apply_small_page(found->second, *key.number, item);
     observer_.on_job_changed(id);
 }
 
-void StateCache::apply_standard_page(Job& j, std::uint32_t n, const KeyUpdate& item) {
-    const std::uint32_t first = n * standard_page_size_;
-    if (first >= j.spec.tasks) return;
-    auto tasks =
-        records::decode_page(*item.value, j, first, std::min(standard_page_size_, j.spec.tasks - first));
+void StateCache::apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& item) {
+    const PageLayout pages = layout(job);
+    if (page >= pages.standard_page_count()) return;
+    auto tasks = records::decode_page(*item.value, job, pages.first_task_of_standard(page),
+                                      pages.tasks_in_standard(page));
     if (!tasks) return;
-    if (j.small_page_size == 0) return set_page(j, n, std::move(*tasks), item.version);
-    const std::uint32_t end = first + static_cast<std::uint32_t>(tasks->size());
-    j.frozen_pages[n] = Page{item.version, std::move(*tasks)};
-    // A smaller page that was written takes precedence.
-    for (std::uint32_t small = page_of(j, first); small * j.small_page_size < end; ++small)
-        if (!is_written(page_key(j, small))) set_page(j, small, tasks_in_frozen(j, small), {});
+    if (!pages.has_small_pages()) return set_page(job, page, std::move(*tasks), item.version);
+    job.frozen_pages[page] = Page{item.version, std::move(*tasks)};
+    // A small page that was written takes precedence.
+    const PageRange small = pages.small_pages_of(page);
+    for (std::uint32_t number = small.first; number < small.end; ++number)
+        if (!versions_.exists(page_key(job, number)))
+            set_page(job, number, tasks_in_frozen_pages(job, pages, number), {});
 }
 
-void StateCache::apply_small_page(Job& j, std::uint32_t n, const KeyUpdate& item) {
+void StateCache::apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& item) {
+    const PageLayout pages = layout(job);
     // The record that tells the pages' size is still to come, and the watch brings this one again after it.
-    if (j.small_page_size == 0) return forget_version(item.key);
-    if (n >= pages_of(j)) return;
-    if (auto tasks = records::decode_page(*item.value, j, std::size_t{n} * j.small_page_size, tasks_in(j, n)))
-        set_page(j, n, std::move(*tasks), item.version);
-}
-
-// What the frozen pages say of the tasks of a smaller page.
-std::vector<TaskState> StateCache::tasks_in_frozen(const Job& j, std::uint32_t page) const {
-    std::vector<TaskState> tasks(tasks_in(j, page));
-    for (std::size_t i = 0; i < tasks.size(); ++i) {
-        const std::size_t index = i + std::size_t{page} * j.small_page_size;
-        const auto frozen = j.frozen_pages.find(static_cast<std::uint32_t>(index / standard_page_size_));
-        if (frozen != j.frozen_pages.end()) tasks[i] = frozen->second.tasks.at(index % standard_page_size_);
-    }
-    return tasks;
-}
-
-// No task changes by it: only the pages in which they stand do.
-void StateCache::freeze_pages(Job& j) const {
-    j.frozen_pages = std::move(j.pages);
-    j.pages.clear();
-    if (j.frozen_pages.empty()) return;
-    for (std::uint32_t n = 0; n < pages_of(j); ++n) {
-        Page page;
-        page.tasks = tasks_in_frozen(j, n);
-        page.count();
-        j.pages[n] = std::move(page);
-    }
-}
-
-void StateCache::apply_format(const KeyUpdate& item) {
-    if (!item.value || !item.value->is_object()) return;
-    const auto format = item.value->find("format");
-    if (format == item.value->end() || !format->is_number_unsigned()) return;
-    const auto level = format->get<std::uint32_t>();
-    if (item.key == keys::format_level)
-        format_level_ = std::max(format_level_, level);
-    else
-        known_formats_[NodeName(item.key.substr(4))] = level;
-    observer_.on_membership_changed();
-}
-
-void StateCache::note_image(const MachineId& m, const wire::JobSpec& s, Revision at) {
-    if (s.image.empty()) return;
-    if (images_.size() >= most_image_holders && !images_.contains(m)) {
-        // Bounded: machines that were taken away leave theirs behind.
-        const Revision old{at.value() - std::min(at.value(), at.value() / 4)};
-        std::erase_if(images_, [&](const auto& e) { return e.second.at < old; });
-        if (images_.size() >= most_image_holders) images_.clear();
-    }
-    Images& of = images_[m];
-    of.at = std::max(of.at, at);
-    auto& r = of.recent;
-    std::erase_if(r, [&](const Image& i) { return i.name == s.image; });
-    r.push_front({s.image, s.image_gb});
-    if (r.size() > most_images) r.pop_back();
-}
-
-bool StateCache::holds_image(const MachineId& m, const std::string& image, double cache_gb) const {
-    bool found = false;
-    each_image(m, cache_gb, [&](const std::string& name) { found = found || name == image; });
-    return found;
-}
-
-void StateCache::set_page(Job& j, std::uint32_t n, std::vector<TaskState> tasks, Revision version) {
-    Page& p = j.pages[n];
-    j.placed -= p.placed;
-    j.done -= p.done;
-    for (std::size_t i = 0; i < std::max(p.tasks.size(), tasks.size()); ++i) {
-        const bool was = i < p.tasks.size() && p.tasks[i].status == TaskState::Status::placed;
-        const bool is = i < tasks.size() && tasks[i].status == TaskState::Status::placed;
-        if (!was && !is) continue;
-        if (was && is && p.tasks[i].machine == tasks[i].machine) continue;
-        const TaskRef ref{j.spec.id, static_cast<TaskIndex>(i) + n * page_size(j)};
-        if (was) {
-            auto m = by_machine_.find(p.tasks[i].machine);
-            if (m != by_machine_.end()) {
-                m->second.erase(ref);
-                if (m->second.empty()) by_machine_.erase(m);
-            }
-            observer_.on_placement_changed(p.tasks[i].machine);
-        }
-        if (is) {
-            by_machine_[tasks[i].machine].insert(ref);
-            note_image(tasks[i].machine, j.spec, version);
-            observer_.on_placement_changed(tasks[i].machine);
-        }
+    if (!pages.has_small_pages()) return versions_.forget(item.key);
+    if (page >= pages.page_count()) return;
+    auto tasks = records::decode_page(*item.value, job, pages.first_task(page), pages.tasks_in(page));
+    if (tasks) set_page(job, page, std::move(*tasks), item.version);
+}
+
+// Replaces a page's tasks, and brings the indexes by machine and by team up to date.
+void StateCache::set_page(Job& job, std::uint32_t number, std::vector<TaskState> tasks, Revision version) {
+    static const TaskState none;
+    Page& page = job.pages[number];
+    const TaskIndex first = layout(job).first_task(number);
+    for (std::size_t i = 0; i < std::max(page.tasks.size(), tasks.size()); ++i)
+        move_task(job, first + static_cast<TaskIndex>(i), i < page.tasks.size() ? page.tasks[i] : none,
+                  i < tasks.size() ? tasks[i] : none, version);
+    const TaskIndex placed_before = page.placed;
+    const TaskIndex done_before = page.done;
+    page.tasks = std::move(tasks);
+    page.version = version;
+    page.count();
+    job.placed += page.placed - placed_before;
+    job.done += page.done - done_before;
+    team_quotas_.add_placed(job.spec.team, job.spec.need,
+                            std::int64_t{page.placed} - std::int64_t{placed_before});
+}
+
+// The observer is told between the two halves of a move: of the machine that the task left, before it is seen
+// on the other.
+void StateCache::move_task(const Job& job, TaskIndex task, const TaskState& before, const TaskState& after,
+                           Revision version) {
+    const bool was_placed = before.status == TaskState::Status::placed;
+    const bool is_placed = after.status == TaskState::Status::placed;
+    if (!was_placed && !is_placed) return;
+    if (was_placed && is_placed && before.machine == after.machine) return;
+    const TaskRef ref{job.spec.id, task};
+    if (was_placed) {
+        tasks_by_machine_.remove(before.machine, ref);
+        observer_.on_placement_changed(before.machine);
     }
-    p.tasks = std::move(tasks);
-    p.version = version;
-    const auto before = static_cast<std::int64_t>(p.placed);
-    p.count();
-    if (const auto more = static_cast<std::int64_t>(p.placed) - before; more != 0) {
-        QuotaUsage& r = placed_by_team_[j.spec.team];
-        r.cpu += more * j.spec.need.cpu;
-        r.gpu += more * j.spec.need.gpu;
+    if (is_placed) {
+        tasks_by_machine_.add(after.machine, ref);
+        images_.add(after.machine, job.spec.image, job.spec.image_gb, version);
+        observer_.on_placement_changed(after.machine);
     }
-    j.placed += p.placed;
-    j.done += p.done;
 }
 
 }  // namespace zincdyke
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -1,8 +1,6 @@
-// What the state service holds, as last read: the shared view that every decision starts from. Decisions
-// become facts only by a commit whose conditions name the versions seen here.
+/// What the key-value store holds, as last read: the shared view that every decision starts from.
 #pragma once
-#include <deque>
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
@@ -12,156 +10,185 @@
 
 #include "base/settings.h"
 #include "base/types.h"
+#include "store/cancelled_jobs.h"
+#include "store/format_levels.h"
 #include "store/job.h"
 #include "store/keys.h"
+#include "store/machine_images.h"
+#include "store/membership.h"
+#include "store/orphaned_pages.h"
+#include "store/page_layout.h"
+#include "store/record_versions.h"
 #include "store/state_observer.h"
 #include "store/store_client.h"
+#include "store/tasks_by_machine.h"
+#include "store/team_quotas.h"
 #include "wire/json_api.h"
 
 namespace zincdyke {
 
-/// A share of the machines and the controller that leads it.
-struct Shard {
-    NodeName leader;
-    Term term;
-};
-struct QuotaUsage {
-    std::int64_t cpu = 0, gpu = 0;
-};
-
+/// The records of the key-value store and the indexes derived from them.
+///
+/// It may trail behind the store: decisions become facts only by a commit whose preconditions name the
+/// versions seen here. Updates of one key may come in any order and more than once; what comes out is the
+/// same. What a record says goes to one small class each (`Membership`, `TeamQuotas`, ...); jobs and their
+/// pages are kept here. Lives on the event loop, as do its observer and its callers.
 class StateCache {
   public:
     /// Both must outlive the cache.
     StateCache(const Settings& settings, StateObserver& observer);
-    // Takes over what was read under `key`; older than what is known: ignored.
+
+    // --- Updates ---
+
+    /// Takes over what was read under a key; ignored if it is older than what is known.
     void apply(const KeyUpdate& item);
+    /// Forgets the records, to read them anew. Known cancellations, images and the fleet's format level stay.
     void clear();
-    // A job is known to be cancelled, though this node has not read it: a controller that told its user says
-    // so. What is marked stays so, whatever older versions of the record come.
+    /// A job is known to be cancelled, though this node has not read it: a controller that told its user says
+    /// so. It stays so, whatever older versions of the record come.
     void mark_cancelled(const JobId& id);
+    /// The machine was terminated: its images are gone.
+    void forget_machine(const MachineId& machine) { images_.forget(machine); }
+    /// Everything up to this revision has been read.
+    Revision applied_revision;
+    /// How often the cache was cleared.
+    [[nodiscard]] std::uint64_t generation() const { return generation_; }
+    /// The version of a record; 0 if there is none.
+    [[nodiscard]] Revision version(const std::string& key) const { return versions_.version(key); }
+
+    // --- Jobs and tasks ---
 
-    const Job* job(const JobId& id) const;
-    const std::unordered_map<JobId, Job>& jobs() const { return jobs_; }
-    TaskState task(const TaskRef& t) const;
-    const std::set<TaskRef>& tasks_on(const MachineId& m) const;
-    const std::unordered_map<MachineId, std::set<TaskRef>>& tasks_by_machine() const { return by_machine_; }
-    const std::vector<Shard>& shards() const { return shards_; }
-    const std::map<NodeName, Revision>& live_nodes() const { return live_nodes_; }
-    // What a team's placed tasks take, by the pages read so far. Whether that is all: TeamLocks.
-    QuotaUsage quota_usage(const TeamName& t) const;
-    // The controller that holds the lock on a limited team's starts; empty: none yet.
-    const NodeName& team_lock_holder(const TeamName& t) const;
-    // How often the model was emptied to be read anew.
-    std::uint64_t generation() const { return generation_; }
-    const Team* team_limits(const TeamName& t) const;
-    const NodeName& autoscaler_leader() const { return autoscaler_leader_; }
-    Revision autoscaler_leader_version() const { return version("z/s"); }
-    const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
-    const wire::MachineType* machine_type(const std::string& name) const;
-    Revision version(const std::string& key) const;
-
-    // The zone that a one-zone job's next start must be in. While none of its tasks is on a machine, by
-    // proof, any will do: the commit of its first start names the zone, on condition that no page shows a
-    // task placed.
-    std::optional<std::string> required_zone(const Job& j) const {
-        const bool free =
-            j.spec.one_zone && !j.spec.zone && j.placed == 0 && pages_named_for_zone(j) <= most_free_pages;
-        return free ? std::nullopt : j.assigned_zone;
+    /// Null for a job that is not known, or has ended.
+    [[nodiscard]] const Job* job(const JobId& id) const;
+    [[nodiscard]] const std::unordered_map<JobId, Job>& jobs() const { return jobs_; }
+    /// Pending, attempt 0, for a task that is not known.
+    [[nodiscard]] TaskState task(const TaskRef& task) const;
+    [[nodiscard]] const std::set<TaskRef>& tasks_on(const MachineId& machine) const {
+        return tasks_by_machine_.tasks_on(machine);
     }
-    static constexpr std::size_t most_free_pages = 4;  // all are named in the commit's conditions
-    std::size_t pages_named_for_zone(const Job& j) const {
-        const std::size_t frozen = (j.spec.tasks + standard_page_size_ - 1) / standard_page_size_;
-        return pages_of(j) + (j.small_page_size != 0 ? frozen : 0);
+    [[nodiscard]] const std::unordered_map<MachineId, std::set<TaskRef>>& tasks_by_machine() const {
+        return tasks_by_machine_.all();
     }
-    // Tasks in a page of the standard size. Every version of the program derives the same from the settings.
-    std::uint32_t standard_page_size() const { return standard_page_size_; }
-    // Tasks in a page whose record surely fits the strictest limits.
-    std::uint32_t safe_page_size() const { return safe_page_size_; }
-    std::uint32_t page_size(const Job& j) const {
-        return j.small_page_size != 0 ? j.small_page_size : standard_page_size_;
+    /// Whether any job that is not cancelled has pending tasks.
+    [[nodiscard]] bool has_pending_tasks() const;
+    /// The zone that a one-zone job's next start must be in. While none of its tasks is on a machine, by
+    /// proof, any will do: the commit of its first start names the zone, on condition that no page shows a
+    /// task placed.
+    [[nodiscard]] std::optional<std::string> required_zone(const Job& job) const;
+    /// A job with more pages than this (frozen ones included) keeps to the zone assigned at its acceptance:
+    /// all pages are named in the preconditions of the commit that chooses another.
+    static constexpr std::size_t most_free_pages = 4;
+    /// How many pages the preconditions of a commit that chooses a job's zone name.
+    [[nodiscard]] std::size_t pages_named_for_zone(const Job& job) const;
+
+    // --- Pages ---
+
+    /// Tasks in a page of the standard size. Every version of the program derives the same from the settings.
+    [[nodiscard]] std::uint32_t standard_page_size() const { return standard_page_size_; }
+    /// Tasks in a page whose record surely fits the strictest limits.
+    [[nodiscard]] std::uint32_t safe_page_size() const { return safe_page_size_; }
+    [[nodiscard]] PageLayout layout(const Job& job) const { return {job, standard_page_size_}; }
+    [[nodiscard]] std::uint32_t page_size(const Job& job) const { return layout(job).page_size(); }
+    [[nodiscard]] std::uint32_t page_of(const Job& job, TaskIndex task) const {
+        return layout(job).page_of(task);
     }
-    std::uint32_t page_of(const Job& j, TaskIndex t) const { return t / page_size(j); }
-    std::uint32_t pages_of(const Job& j) const { return (j.spec.tasks + page_size(j) - 1) / page_size(j); }
-    TaskIndex tasks_in(const Job& j, std::uint32_t page) const;
-    static std::string page_key(const Job& j, std::uint32_t page);
-    std::vector<TaskState> page_tasks(const Job& j, std::uint32_t page) const;
-    // What a commit that changes the page has to name: its version, and while it was never written those of
-    // the frozen pages that still hold its tasks.
-    std::vector<Condition> page_conditions(const Job& j, std::uint32_t page) const;
-    // Keys of all pages that were written, the frozen ones too.
-    std::vector<std::string> written_pages(const Job& j) const;
-    // A job's record. One that would be too large for the strictest limits names only the types that exist.
-    Json encode_job(const Job& j) const;
-
-    // The format level that the fleet writes, as far as read; it never falls.
-    std::uint32_t format_level() const { return format_level_; }
-    // The format level that each controller has registered to understand.
-    const std::map<NodeName, std::uint32_t>& known_formats() const { return known_formats_; }
-
-    // Images of the tasks placed on a machine, as far back as its cache reaches. Every controller knows them
-    // of every machine: what only the owner had seen was lost with it, and gangs waited for fetches of what
-    // lay there already.
-    bool holds_image(const MachineId& m, const std::string& image, double cache_gb) const;
-    // Calls `fn` with each.
-    template <class Fn>
-    void each_image(const MachineId& m, double cache_gb, Fn fn) const {
-        auto it = images_.find(m);
-        if (it == images_.end()) return;
-        for (const auto& i : it->second.recent) {
-            if ((cache_gb -= i.gb) < 0) return;
-            fn(i.name);
-        }
+    [[nodiscard]] std::uint32_t pages_of(const Job& job) const { return layout(job).page_count(); }
+    [[nodiscard]] TaskIndex tasks_in(const Job& job, std::uint32_t page) const {
+        return layout(job).tasks_in(page);
+    }
+    [[nodiscard]] static std::string page_key(const Job& job, std::uint32_t page) {
+        return zincdyke::page_key(job, page);
+    }
+    /// A page's tasks; all pending if it was never written.
+    [[nodiscard]] std::vector<TaskState> page_tasks(const Job& job, std::uint32_t page) const;
+    /// What a commit that changes the page has to name: its version, and while it was never written those of
+    /// the frozen pages that still hold its tasks.
+    [[nodiscard]] std::vector<Condition> page_conditions(const Job& job, std::uint32_t page) const;
+    /// Keys of all of a job's pages that were written, the frozen ones too.
+    [[nodiscard]] std::vector<std::string> written_pages(const Job& job) const;
+    /// A job's record. One that would be too large for the strictest limits names only the machine types that
+    /// exist.
+    [[nodiscard]] Json encode_job(const Job& job) const;
+    /// Pages whose job is over; their keys may be deleted.
+    [[nodiscard]] const std::set<std::string>& orphaned_pages() const { return orphaned_pages_.keys(); }
+
+    // --- Controllers ---
+
+    [[nodiscard]] const std::vector<Shard>& shards() const { return membership_.shards(); }
+    /// The shard of a machine, by the hash of its name.
+    [[nodiscard]] std::uint32_t shard_of(const MachineId& machine) const {
+        return membership_.shard_of(machine);
+    }
+    [[nodiscard]] const std::map<NodeName, Revision>& live_nodes() const { return membership_.live_nodes(); }
+    /// Empty: there is none.
+    [[nodiscard]] const NodeName& autoscaler_leader() const { return membership_.autoscaler_leader(); }
+    [[nodiscard]] Revision autoscaler_leader_version() const { return version(keys::autoscaler_leader); }
+    /// The format level that the fleet writes, as far as read; it never falls.
+    [[nodiscard]] std::uint32_t format_level() const { return format_levels_.fleet_level(); }
+    /// The format level that each controller has registered to understand.
+    [[nodiscard]] const std::map<NodeName, std::uint32_t>& known_formats() const {
+        return format_levels_.known();
+    }
+
+    // --- Teams ---
+
+    /// What a team's placed tasks take, by the pages read so far. Whether that is all: `TeamLocks`.
+    [[nodiscard]] QuotaUsage quota_usage(const TeamName& team) const { return team_quotas_.usage(team); }
+    /// Whether so many more tasks keep to the team's limits; false for an unknown team.
+    [[nodiscard]] bool fits_team_quota(const TeamName& team, const Resources& need, TaskIndex tasks) const {
+        return team_quotas_.fits(team, need, tasks);
+    }
+    /// Null for a team that the settings don't name.
+    [[nodiscard]] const Team* team_limits(const TeamName& team) const { return team_quotas_.limits(team); }
+    /// The controller that holds the lock on a limited team's starts; empty: none yet.
+    [[nodiscard]] const NodeName& team_lock_holder(const TeamName& team) const {
+        return team_quotas_.lock_holder(team);
     }
-    void forget_machine(const MachineId& m) { images_.erase(m); }
 
-    // Machines are parted among the controllers by the hash of their names.
-    std::uint32_t shard_of(const MachineId& m) const;
-    bool fits_team_quota(const TeamName& t, const Resources& need, TaskIndex tasks) const;
-    // Pages whose job is over; their keys may be deleted.
-    const std::set<std::string>& orphaned_pages() const { return orphaned_pages_; }
+    // --- Machines ---
 
-    bool has_pending_tasks() const;
-    Revision applied_revision;  // everything up to this revision has been read
+    /// The cloud's machine types, as last listed.
+    [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
+    /// Null for a type that is not known.
+    [[nodiscard]] const wire::MachineType* machine_type(const std::string& name) const;
+    /// Whether a machine with a cache of `cache_gb` holds the image, by the tasks placed on it.
+    [[nodiscard]] bool holds_image(const MachineId& machine, const std::string& image,
+                                   double cache_gb) const {
+        return images_.holds(machine, image, cache_gb);
+    }
+    /// Calls `fn` with the name of each image that a machine's cache of `cache_gb` holds.
+    template <class Fn>
+    void each_image(const MachineId& machine, double cache_gb, Fn fn) const {
+        images_.for_each(machine, cache_gb, fn);
+    }
 
   private:
+    void apply_membership(const keys::ParsedKey& key, const KeyUpdate& item);
+    void apply_format(const keys::ParsedKey& key, const KeyUpdate& item);
     void apply_job(const JobId& id, const KeyUpdate& item);
-    void apply_page(const KeyUpdate& item);
-    void apply_standard_page(Job& j, std::uint32_t n, const KeyUpdate& item);
-    void apply_small_page(Job& j, std::uint32_t n, const KeyUpdate& item);
-    void apply_format(const KeyUpdate& item);
-    void forget_version(const std::string& key);
-    void freeze_pages(Job& j) const;
-    std::vector<TaskState> tasks_in_frozen(const Job& j, std::uint32_t page) const;
-    bool is_written(const std::string& key) const;
-    void set_page(Job& j, std::uint32_t n, std::vector<TaskState> tasks, Revision version);
-    void note_image(const MachineId& m, const wire::JobSpec& s, Revision at);
-    struct Image {
-        std::string name;
-        double gb = 0;
-    };
-    struct Images {
-        std::deque<Image> recent;  // newest first
-        Revision at;
-    };
+    void remove_job(const JobId& id);
+    void apply_page(const keys::ParsedKey& key, const KeyUpdate& item);
+    void apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& item);
+    void apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& item);
+    void set_page(Job& job, std::uint32_t number, std::vector<TaskState> tasks, Revision version);
+    void move_task(const Job& job, TaskIndex task, const TaskState& before, const TaskState& after,
+                   Revision version);
+
     const Settings& settings_;
     StateObserver& observer_;
-    std::uint32_t standard_page_size_, safe_page_size_;
-    std::uint32_t format_level_ = 0;
-    std::map<NodeName, std::uint32_t> known_formats_;
-    std::unordered_map<std::string, Revision> versions_;  // of deleted keys too, until `seen` passes them
-    std::unordered_map<std::string, bool> present_;
-    std::unordered_map<JobId, Job> jobs_;
-    std::set<JobId> known_cancelled_;  // not cleared: a list read just now may be older than a peer's word
-    std::unordered_map<MachineId, std::set<TaskRef>> by_machine_;
-    std::unordered_map<MachineId, Images> images_;
-    std::vector<Shard> shards_;
-    std::map<NodeName, Revision> live_nodes_;
-    std::map<TeamName, NodeName> team_lock_holders_;
-    std::map<TeamName, QuotaUsage> placed_by_team_;
+    const std::uint32_t standard_page_size_;
+    const std::uint32_t safe_page_size_;
     std::uint64_t generation_ = 0;
-    NodeName autoscaler_leader_;
+    RecordVersions versions_;
+    std::unordered_map<JobId, Job> jobs_;
+    CancelledJobs cancelled_jobs_;
+    OrphanedPages orphaned_pages_;
+    TasksByMachine tasks_by_machine_;
+    MachineImages images_;
+    TeamQuotas team_quotas_;
+    Membership membership_;
+    FormatLevels format_levels_;
     std::vector<wire::MachineType> machine_types_;
-    std::set<std::string> orphaned_pages_;
 };
 
 }  // namespace zincdyke
--- a/src/store/state_observer.h
+++ b/src/store/state_observer.h
@@ -4,7 +4,8 @@
 
 namespace zincdyke {
 
-/// Told of each change while it is applied: an observer may read the cache, but must not change it.
+/// Told of each change while it is applied, on the event loop and in the order given at each function: an
+/// observer may read the cache, which then shows part of the change, but must not change it.
 class StateObserver {
   public:
     StateObserver() = default;
@@ -12,17 +13,18 @@
     StateObserver& operator=(const StateObserver&) = delete;
     virtual ~StateObserver() = default;
 
-    /// A job or one of its pages changed, or the job is gone.
+    /// A job or one of its pages changed, or the job is gone. Comes after the calls for its tasks'
+    /// placements.
     virtual void on_job_changed(const JobId& id) = 0;
-    /// The tasks placed on a machine changed.
+    /// The tasks placed on a machine changed. A task that moves: first for the machine that it left.
     virtual void on_placement_changed(const MachineId& id) = 0;
-    /// A job's tasks are stored in smaller pages from now on.
+    /// A job's tasks are stored in small pages from now on. Comes before `on_job_changed`.
     virtual void on_pages_resized(const JobId& id) = 0;
-    /// A job became known to be cancelled.
+    /// A job became known to be cancelled. Comes after `on_job_changed`.
     virtual void on_job_cancelled(const JobId& id) = 0;
-    /// A job came or went, or the cache was cleared.
+    /// A job is about to come, or went, or the cache was cleared. Comes before `on_job_changed`.
     virtual void on_jobs_changed() = 0;
-    /// Live nodes, shards, the autoscaler's leader or registered format levels changed.
+    /// Live nodes, shards, the autoscaler's leader or format levels changed.
     virtual void on_membership_changed() = 0;
 };
 
