--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -1,11 +1,9 @@
 #include "cluster/cluster_coordinator.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
-#include <iterator>
 
 #include "base/log.h"
+#include "cluster/rendezvous_hash.h"
 
 namespace zincdyke {
 namespace {
@@ -21,6 +19,10 @@
       state_cache_(model),
       observer_(observer),
       all_(settings.all_nodes()),
+      membership_(settings, model),
+      job_roles_(settings, model, membership_),
+      write_budget_share_(settings, store, model, membership_),
+      autoscaler_election_(env, settings, store, model, membership_),
       // Lease and takeover fit inside a worker's lease, so that running tasks outlive their controller.
       life_(std::clamp(seconds(settings.lease_s * 0.4), millis(1500), seconds(10))) {}
 
@@ -52,26 +54,6 @@
     }
 }
 
-NodeName ClusterCoordinator::pick_by_hash(const std::string& key, const std::vector<NodeName>& among) {
-    NodeName best;
-    std::uint64_t top = 0;
-    for (const auto& n : among) {
-        std::string s = key + "\n" + n.value();
-        std::uint64_t h = XXH64(s.data(), s.size(), 1);
-        if (best.empty() || h > top) {
-            best = n;
-            top = h;
-        }
-    }
-    return best;
-}
-
-std::vector<NodeName> ClusterCoordinator::live_nodes() const {
-    std::vector<NodeName> out;
-    for (const auto& [n, v] : state_cache_.live_nodes()) out.push_back(n);
-    return out;
-}
-
 std::optional<Term> ClusterCoordinator::term(std::uint32_t part) const {
     auto it = claims_.find(part);
     if (it == claims_.end() || part >= state_cache_.shards().size()) return std::nullopt;
@@ -89,44 +71,7 @@
 }
 
 bool ClusterCoordinator::is_autoscaler_leader() const {
-    return is_up_to_date() && registered_ && state_cache_.autoscaler_leader() == settings_.node;
-}
-
-NodeName ClusterCoordinator::relay_of(const Job& j) const {
-    if (is_live(j.relay)) return j.relay;
-    auto among = live_nodes();
-    return among.empty() ? j.relay : pick_by_hash(j.spec.id.value(), among);
-}
-
-NodeName ClusterCoordinator::committer_of(const Job& j) const {
-    const Team* t = state_cache_.team_limits(j.spec.team);
-    if (t == nullptr || !t->limited()) return relay_of(j);
-    // Dealt out in turn: by hash one of five homes had six of sixteen teams, and more to write than its part
-    // of the budget.
-    const auto turn =
-        static_cast<std::size_t>(std::distance(settings_.teams.begin(), settings_.teams.find(j.spec.team)));
-    if (const NodeName& first = all_[turn % all_.size()]; is_live(first)) return first;
-    auto among = live_nodes();
-    return among.empty() ? settings_.node : pick_by_hash(keys::team_lock(j.spec.team), among);
-}
-
-// Half of the write budget is split evenly, the rest by demand: with a fixed split one node's jobs waited for
-// writes while half of the budget was never used. Peers not heard from count as average ones.
-void ClusterCoordinator::update_write_share(double mine, const std::map<NodeName, double>& heard) {
-    double sum = mine;
-    std::size_t n = 1, silent = 0;
-    for (const auto& [node, v] : state_cache_.live_nodes()) {
-        if (node == settings_.node) continue;
-        ++n;
-        if (auto h = heard.find(node); h != heard.end())
-            sum += h->second;
-        else
-            ++silent;
-    }
-    sum += sum / static_cast<double>(n - silent) * static_cast<double>(silent);
-    const double even = 1.0 / static_cast<double>(n);
-    write_share_ = sum > 0 ? 0.5 * even + 0.5 * mine / sum : even;
-    store_.set_budget_share(even, write_share_);
+    return is_up_to_date() && registered_ && autoscaler_election_.is_won();
 }
 
 void ClusterCoordinator::acquire_session() {
@@ -221,8 +166,7 @@
 // A pause gathers changes into one answer. It keeps the watches of all nodes together to a quarter of the
 // request budget: at a fixed 30 ms those of seven nodes took most of it.
 Duration ClusterCoordinator::watch_pause() const {
-    const double pause = static_cast<double>(std::max<std::size_t>(1, state_cache_.live_nodes().size())) /
-                         (settings_.state_rps * 0.25);
+    const double pause = static_cast<double>(membership_.budget_shares()) / (settings_.state_rps * 0.25);
     return std::clamp(seconds(pause), millis(30), millis(500));
 }
 
@@ -301,8 +245,7 @@
 
 void ClusterCoordinator::on_membership_changed() {
     if (!is_synced_) return;
-    const double even = 1.0 / static_cast<double>(std::max<std::size_t>(1, state_cache_.live_nodes().size()));
-    store_.set_budget_share(even, write_share_ > 0 ? write_share_ : even);
+    write_budget_share_.on_membership_changed();
     for (std::uint32_t k = 0; k < state_cache_.shards().size(); ++k) {
         if (term(k)) {
             if (announced_.insert(k).second) observer_.on_leadership_acquired(k);
@@ -347,9 +290,7 @@
         const bool on_its_way = won != claims_.end() && won->second > state_cache_.version(keys::shard(k));
         if (mine && !on_its_way && !claiming_.contains(k)) claim(k);
     }
-    if (!standing_ &&
-        (state_cache_.autoscaler_leader().empty() || !is_live(state_cache_.autoscaler_leader())))
-        stand_for_supplier();
+    autoscaler_election_.review(grant_);
 }
 
 void ClusterCoordinator::write_owner(std::uint32_t part, const NodeName& owner,
@@ -379,9 +320,7 @@
 }
 
 void ClusterCoordinator::transfer_leadership(std::uint32_t part) {
-    std::vector<NodeName> others;
-    for (const auto& n : live_nodes())
-        if (n != settings_.node) others.push_back(n);
+    const std::vector<NodeName> others = membership_.live_peers();
     if (others.empty() || !is_up_to_date() || claiming_.contains(part)) return;
     claiming_.insert(part);
     const NodeName to = pick_by_hash(keys::shard(part) + "+", others);
@@ -391,15 +330,4 @@
     write_owner(part, to, [this, part](const CommitResult&) { claiming_.erase(part); });
 }
 
-void ClusterCoordinator::stand_for_supplier() {
-    standing_ = true;
-    Transaction txn;
-    txn.conditions.push_back({keys::autoscaler_leader, state_cache_.version(keys::autoscaler_leader)});
-    txn.writes.push_back({keys::autoscaler_leader, Json{{"node", settings_.node.value()}}, grant_});
-    store_.commit(txn, RequestPriority::lease, [this](CommitResult r) {
-        if (r.outcome == Outcome::ok) log::info("event=supplier_elected revision={}", r.revision.value());
-        env_.after(millis(300), [this] { standing_ = false; });
-    });
-}
-
 }  // namespace zincdyke
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -9,7 +9,11 @@
 
 #include "base/env.h"
 #include "base/settings.h"
+#include "cluster/autoscaler_election.h"
 #include "cluster/cluster_observer.h"
+#include "cluster/job_roles.h"
+#include "cluster/membership.h"
+#include "cluster/write_budget_share.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
 
@@ -38,18 +42,13 @@
     // The node that a worker should report to.
     std::optional<NodeName> leader_of(const MachineId& m) const;
     bool is_autoscaler_leader() const;  // and in touch
-    std::vector<NodeName> live_nodes() const;
-    bool is_live(const NodeName& n) const { return state_cache_.live_nodes().contains(n); }
-    // The controller that relays the job: the one that accepted it, or while that is away one picked by hash.
-    NodeName relay_of(const Job& j) const;
-    // The controller through which a job's starts and ends are committed: its relay, or for a limited team
-    // one for all of the team's jobs. Any other may commit them too; this one does so without conflicts.
-    NodeName committer_of(const Job& j) const;
-    // What this node and its peers have to commit, by the latest beats; `heard` leaves out peers that are
-    // silent.
-    void update_write_share(double mine, const std::map<NodeName, double>& heard);
-    // Picks among `among` by the hash of a key: each survivor takes its share.
-    static NodeName pick_by_hash(const std::string& key, const std::vector<NodeName>& among);
+    std::vector<NodeName> live_nodes() const { return membership_.live_nodes(); }
+    bool is_live(const NodeName& n) const { return membership_.is_live(n); }
+    NodeName relay_of(const Job& j) const { return job_roles_.relay_of(j); }
+    NodeName committer_of(const Job& j) const { return job_roles_.committer_of(j); }
+    void update_write_share(double mine, const std::map<NodeName, double>& heard) {
+        write_budget_share_.update(mine, heard);
+    }
     // Unique to this process among all that ever ran: the revision of its first session.
     Revision incarnation() const { return incarnation_; }
 
@@ -78,16 +77,19 @@
     void review();
     void claim(std::uint32_t part);
     void write_owner(std::uint32_t part, const NodeName& owner, std::function<void(CommitResult)> done);
-    void stand_for_supplier();
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
     StateCache& state_cache_;
     ClusterObserver& observer_;
     std::vector<NodeName> all_;
+    Membership membership_;
+    JobRoles job_roles_;
+    WriteBudgetShare write_budget_share_;
+    AutoscalerElection autoscaler_election_;
     std::uint64_t grant_ = 0;
     bool registered_ = false, registering_ = false, acquiring_ = false, renewing_ = false, loading_ = false,
-         is_synced_ = false, standing_ = false;
+         is_synced_ = false;
     Revision incarnation_;
     static constexpr Duration stall_limit = std::chrono::seconds(1);
     SteadyTime awake_{};
@@ -102,7 +104,6 @@
     std::deque<Read> reads_;  // oldest first
     std::uint64_t next_read_ = 0;
     SteadyTime last_read_{};
-    double write_share_ = 0;                // 0: one by the number of nodes
     std::map<std::uint32_t, Term> claims_;  // won by this process
     std::set<std::uint32_t> claiming_;
     std::map<std::uint32_t, SteadyTime> handed_over_;
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "base/log.h"
+#include "cluster/rendezvous_hash.h"
 
 namespace zincdyke {
 namespace {
@@ -47,8 +48,7 @@
     if (missing.size() != told_waiting_) log::info("event=format_level_waits for={}", joined(missing));
     told_waiting_ = missing.size();
     // One node is enough; any may do it, and again: the commit names the version that was seen.
-    if (missing.empty() &&
-        ClusterCoordinator::pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
+    if (missing.empty() && pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
         put(keys::format_level, highest_known, "format_level_raised");
 }
 
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -4,6 +4,7 @@
 #include <tuple>
 
 #include "base/log.h"
+#include "cluster/rendezvous_hash.h"
 
 namespace zincdyke {
 namespace {
@@ -189,7 +190,7 @@
     if (others.empty()) return false;
     w.handed_over = now;
     Job moved = j;
-    moved.relay = ClusterCoordinator::pick_by_hash(j.spec.id.value(), others);
+    moved.relay = pick_by_hash(j.spec.id.value(), others);
     const std::string key = keys::job(j.spec.id);
     const Json value = state_cache_.encode_job(moved);
     store_.commit({{{key, j.version}}, {{key, value, std::nullopt}}}, RequestPriority::decision,
@@ -231,8 +232,7 @@
     wire::PlacementRequest m;
     m.round = {settings_.node, cluster_.incarnation().value() * 1'000'000 + ++next_round_};
     m.job = j.spec.id;
-    m.gatherer =
-        ClusterCoordinator::pick_by_hash(j.spec.id.value() + "#" + std::to_string(m.round.number), scorers);
+    m.gatherer = pick_by_hash(j.spec.id.value() + "#" + std::to_string(m.round.number), scorers);
     m.scorers = static_cast<std::uint8_t>(std::min<std::size_t>(scorers.size(), 255));
     m.need = j.spec.need;
     m.image = j.spec.image;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "base/settings.h"
-#include "cluster/cluster_coordinator.h"
 #include "cluster/format_level.h"
+#include "cluster/rendezvous_hash.h"
 #include "fake_state_observer.h"
 #include "store/records.h"
 #include "story.h"
@@ -113,8 +113,7 @@
         zincdyke::records::encode_page(tasks, 92).dump(),
         R"({"d":"40000000000000000000000","p":[[92,3,"host-000231"],[183,1,"host-000232","b"]],"t":[[93,2]]})");
     EXPECT_EQ(m.shard_of(MachineId("host-000231")), 0U);
-    EXPECT_EQ(zincdyke::ClusterCoordinator::pick_by_hash("job-000412",
-                                                         {NodeName("n0"), NodeName("n1"), NodeName("n2")}),
+    EXPECT_EQ(zincdyke::pick_by_hash("job-000412", {NodeName("n0"), NodeName("n1"), NodeName("n2")}),
               NodeName("n2"));
     EXPECT_EQ((zincdyke::wire::FencingToken{zincdyke::Term{41}, 3}.value()), 2686979U);
     EXPECT_EQ(
