--- /dev/null
+++ b/src/jobs/committed_records.cpp
@@ -0,0 +1,53 @@
+#include "jobs/committed_records.h"
+
+#include "store/keys.h"
+
+namespace zincdyke {
+namespace {
+constexpr std::size_t max_record_bytes = 60'000;  // of all records in a message, below the frame's limit
+
+bool is_live(const std::string& key) { return key.rfind(keys::live, 0) == 0; }
+bool is_job(const std::string& key) { return key.rfind(keys::job({}), 0) == 0; }
+
+void apply_stored_record(StateCache& state_cache, const wire::StoredRecord& record) {
+    const JobId job_of_page = keys::job_of_page(record.key);
+    if (!job_of_page.empty() && state_cache.job(job_of_page) == nullptr) return;
+    KeyUpdate update{record.key, std::nullopt, Revision{record.version}};
+    if (!record.value.empty()) {
+        Json value = Json::parse(record.value, nullptr, false);
+        if (value.is_discarded()) return;
+        update.value = std::move(value);
+    }
+    state_cache.apply(update);
+}
+}  // namespace
+
+// The end of a job comes before its pages', which then are seen as its own and not as orphaned.
+void apply_committed(StateCache& state_cache, const Transaction& transaction, Revision revision) {
+    for (const auto& write : transaction.writes)
+        if (is_job(write.key)) state_cache.apply({write.key, write.value, revision});
+    for (const auto& write : transaction.writes)
+        if (is_live(write.key)) state_cache.apply({write.key, write.value, revision});
+}
+
+std::vector<wire::StoredRecord> stored_records(const Transaction& transaction, Revision revision) {
+    std::vector<wire::StoredRecord> records;
+    std::size_t bytes = 0;
+    for (const auto& write : transaction.writes) {
+        if (!is_live(write.key)) continue;
+        wire::StoredRecord record{write.key, write.value ? write.value->dump() : "", revision.value()};
+        bytes += record.value.size();
+        if (bytes <= max_record_bytes) records.push_back(std::move(record));
+    }
+    return records;
+}
+
+// Jobs before pages, as in apply_committed().
+void apply_stored_records(StateCache& state_cache, const std::vector<wire::StoredRecord>& records) {
+    for (const auto& record : records)
+        if (is_job(record.key)) apply_stored_record(state_cache, record);
+    for (const auto& record : records)
+        if (!is_job(record.key)) apply_stored_record(state_cache, record);
+}
+
+}  // namespace zincdyke
--- /dev/null
+++ b/src/jobs/job_record_writer.cpp
@@ -0,0 +1,64 @@
+#include "jobs/job_record_writer.h"
+
+#include <utility>
+
+#include "base/log.h"
+#include "jobs/committed_records.h"
+#include "store/keys.h"
+
+namespace zincdyke {
+namespace {
+constexpr Duration close_retry_delay = std::chrono::milliseconds(300);
+constexpr Duration resize_retry_delay = std::chrono::milliseconds(300);
+}  // namespace
+
+JobRecordWriter::JobRecordWriter(Env& env, const Settings& settings, StoreClient& store,
+                                 StateCache& state_cache)
+    : env_(env), settings_(settings), store_(store), state_cache_(state_cache) {}
+
+Json done_record(const Job& job) { return Json{{"s", "done"}, {"n", job.spec.tasks}}; }
+
+void JobRecordWriter::close_job(const JobId& id) {
+    const Job* job = state_cache_.job(id);
+    // A start committed just before the cancellation must have been read before its page may go.
+    if (job == nullptr || closing_.contains(id) || state_cache_.applied_revision < job->version) return;
+    Transaction transaction;
+    transaction.conditions.push_back({keys::job(id), job->version});
+    transaction.writes.push_back({keys::job(id), std::nullopt, std::nullopt});
+    Json final_record = job->cancelled ? Json{{"s", "withdrawn"}} : done_record(*job);
+    transaction.writes.push_back({keys::final_state(id), std::move(final_record), std::nullopt});
+    for (const auto& key : state_cache_.written_pages(*job)) {
+        // The rest are deleted later, as orphaned pages.
+        if (transaction.writes.size() == settings_.strictest_limits.txn_ops) break;
+        transaction.writes.push_back({key, std::nullopt, std::nullopt});
+    }
+    closing_.insert(id);
+    store_.commit(transaction, RequestPriority::report, [this, id, transaction](const CommitResult& result) {
+        if (result.outcome == Outcome::ok) {
+            apply_committed(state_cache_, transaction, result.revision);
+            log::info("event=job_closed job={} revision={}", id.value(), result.revision.value());
+        }
+        env_.after(close_retry_delay, [this, id] { closing_.erase(id); });
+    });
+}
+
+void JobRecordWriter::resize_pages(const JobId& id) {
+    const Job* job = state_cache_.job(id);
+    if (job == nullptr || !resizing_.insert(id).second) return;
+    Job resized = *job;
+    resized.small_page_size = state_cache_.safe_page_size();
+    Transaction transaction;
+    transaction.conditions.push_back({keys::job(id), job->version});
+    transaction.writes.push_back({keys::job(id), state_cache_.encode_job(resized), std::nullopt});
+    store_.commit(transaction, RequestPriority::report, [this, id, transaction](const CommitResult& result) {
+        // If not done, what waits is tried again in a while, with the record as it then is.
+        const bool is_done = result.outcome == Outcome::ok;
+        env_.after(is_done ? Duration(0) : resize_retry_delay, [this, id] { resizing_.erase(id); });
+        if (!is_done) return;
+        log::info("event=pages_resized job={} size={} revision={}", id.value(), state_cache_.safe_page_size(),
+                  result.revision.value());
+        apply_committed(state_cache_, transaction, result.revision);
+    });
+}
+
+}  // namespace zincdyke
--- a/src/jobs/restart_backoff.cpp
+++ b/src/jobs/restart_backoff.cpp
@@ -4,32 +4,34 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration short_run = std::chrono::seconds(30);
+constexpr Duration max_short_run = std::chrono::seconds(30);
 // The first short run may be its machine's fault.
-constexpr int short_runs_allowed = 1;
-constexpr Duration first_pause = std::chrono::seconds(2), longest_pause = std::chrono::seconds(60);
-constexpr int most_doublings = 5;
+constexpr int free_short_run_count = 1;
+constexpr Duration min_delay = std::chrono::seconds(2), max_delay = std::chrono::seconds(60);
+constexpr int max_doubling_count = 5;
+
+Duration restart_delay(int short_runs) {
+    const int counted = short_runs - free_short_run_count;
+    if (counted <= 0) return Duration(0);
+    return std::min<Duration>(max_delay, min_delay * (1 << std::min(counted - 1, max_doubling_count)));
+}
 }  // namespace
 
 void RestartBackoff::placed(TaskIndex replica, SteadyTime now) {
-    Replica& r = replicas_[replica];
-    r.placed = now;
-    r.runs = true;
+    Replica& state = replicas_[replica];
+    state.placed_at = now;
+    state.is_placed = true;
 }
 
 SteadyTime RestartBackoff::earliest_start(TaskIndex replica, SteadyTime now) {
     const auto known = replicas_.find(replica);
     if (known == replicas_.end()) return now;
-    Replica& r = known->second;
-    if (!r.runs) return r.earliest;
-    r.runs = false;
-    r.short_runs = now - r.placed < short_run ? r.short_runs + 1 : 0;
-    const int counted = r.short_runs - short_runs_allowed;
-    r.earliest = now;
-    if (counted > 0)
-        r.earliest +=
-            std::min<Duration>(longest_pause, first_pause * (1 << std::min(counted - 1, most_doublings)));
-    return r.earliest;
+    Replica& state = known->second;
+    if (!state.is_placed) return state.earliest_start;
+    state.is_placed = false;
+    state.short_runs = now - state.placed_at < max_short_run ? state.short_runs + 1 : 0;
+    state.earliest_start = now + restart_delay(state.short_runs);
+    return state.earliest_start;
 }
 
 }  // namespace zincdyke
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -7,69 +7,75 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration retry_pause = std::chrono::milliseconds(150);
+constexpr Duration retry_delay = std::chrono::milliseconds(150);
 // A live holder keeps the lock for so long: two controllers that can't reach each other would take it from
-// one another before either had read the model and committed anything.
-constexpr Duration shortest_hold = std::chrono::seconds(1);
+// one another before either had read the state and committed anything (TeamLock.TwoThatCannotReachEachOther).
+constexpr Duration min_hold_time = std::chrono::seconds(1);
 }  // namespace
 
-TeamLocks::TeamLocks(Env& env, StoreClient& store, StateCache& model, ClusterCoordinator& cluster,
-                     NodeName self)
-    : env_(env), store_(store), state_cache_(model), cluster_(cluster), self_(std::move(self)) {}
+TeamLocks::TeamLocks(Env& env, StoreClient& store, StateCache& state_cache, ClusterCoordinator& cluster,
+                     NodeName self, ReadyCallback on_ready)
+    : env_(env),
+      store_(store),
+      state_cache_(state_cache),
+      cluster_(cluster),
+      self_(std::move(self)),
+      on_ready_(std::move(on_ready)) {}
 
 std::optional<Revision> TeamLocks::token(const TeamName& team) {
     Lock& lock = locks_[team];
-    if (!lock.token || lock.taking) return std::nullopt;
+    if (lock.state != LockState::held) return std::nullopt;
     // A newer version of the record is another controller's, or was written by a late request of our own.
-    if (state_cache_.version(keys::team_lock(team)) > *lock.token) {
-        lock.token.reset();
+    if (state_cache_.version(keys::team_lock(team)) > lock.token) {
+        lock.state = LockState::not_held;
         return std::nullopt;
     }
-    // A model read anew from a list may lack what this process committed while the list was read.
-    if (lock.model_generation != state_cache_.generation()) {
-        lock.model_generation = state_cache_.generation();
-        lock.complete_from = std::max(*lock.token, lock.last_commit);
+    // A cache that was reloaded from a list may lack what this process committed while the list was read.
+    if (lock.generation != state_cache_.generation()) {
+        lock.generation = state_cache_.generation();
+        lock.complete_from = std::max(lock.token, lock.last_commit);
     }
     if (state_cache_.applied_revision < lock.complete_from) return std::nullopt;
     return lock.token;
 }
 
-void TeamLocks::take(const TeamName& team) {
+void TeamLocks::acquire(const TeamName& team) {
     Lock& lock = locks_[team];
-    if (lock.taking) return;
-    const bool held = lock.token && state_cache_.version(keys::team_lock(team)) <= *lock.token;
-    if (!held && other_may_use(team, lock)) return;
-    lock.taking = true;
-    if (held) return await_model(team);  // only the model has to catch up
-    lock.token.reset();
+    if (lock.state == LockState::acquiring || lock.state == LockState::catching_up) return;
+    const bool is_ours =
+        lock.state == LockState::held && state_cache_.version(keys::team_lock(team)) <= lock.token;
+    if (is_ours) {
+        lock.state = LockState::catching_up;
+        return catch_up(team);
+    }
+    if (is_left_to_other(team, lock)) return;
+    lock.state = LockState::acquiring;
     write_record(team);
 }
 
-bool TeamLocks::other_may_use(const TeamName& team, Lock& lock) const {
+bool TeamLocks::is_left_to_other(const TeamName& team, Lock& lock) const {
     const NodeName& holder = state_cache_.team_lock_holder(team);
     if (holder.empty() || holder == self_ || !cluster_.is_live(holder)) return false;
     const Revision version = state_cache_.version(keys::team_lock(team));
-    if (lock.other_version != version) {
-        lock.other_version = version;
-        lock.other_since = env_.now();
-    }
-    return env_.now() - lock.other_since < shortest_hold;
+    if (lock.other.version != version) lock.other = {version, env_.now()};
+    return env_.now() - lock.other.first_seen < min_hold_time;
 }
 
 void TeamLocks::write_record(const TeamName& team) {
     const std::string key = keys::team_lock(team);
-    Transaction txn;
-    txn.conditions.push_back({key, state_cache_.version(key)});
-    txn.writes.push_back({key, Json{{"node", self_.value()}}, std::nullopt});
-    store_.commit(txn, RequestPriority::report, [this, team, key](const CommitResult& result) {
+    Transaction transaction;
+    transaction.conditions.push_back({key, state_cache_.version(key)});
+    transaction.writes.push_back({key, Json{{"node", self_.value()}}, std::nullopt});
+    store_.commit(transaction, RequestPriority::report, [this, team, key](const CommitResult& result) {
         if (result.outcome == Outcome::ok) {
             Lock& lock = locks_[team];
+            lock.state = LockState::catching_up;
             lock.token = lock.last_commit = lock.complete_from = result.revision;
-            log::info("event=team_lock_taken team={} token={}", team.value(), result.revision.value());
+            log::info("event=team_lock_acquired team={} token={}", team.value(), result.revision.value());
             state_cache_.apply({key, Json{{"node", self_.value()}}, result.revision});
-            return await_model(team);
+            return catch_up(team);
         }
-        env_.after(result.outcome == Outcome::conflict ? Duration(0) : retry_pause,
+        env_.after(result.outcome == Outcome::conflict ? Duration(0) : retry_delay,
                    [this, team] { read_record(team); });
     });
 }
@@ -79,25 +85,31 @@
     const std::string key = keys::team_lock(team);
     store_.get(key, RequestPriority::report, [this, team, key](const GetResult& result) {
         if (result.outcome == Outcome::ok) state_cache_.apply({key, result.value, result.version});
-        locks_[team].taking = false;
+        locks_[team].state = LockState::not_held;
     });
 }
 
-void TeamLocks::await_model(const TeamName& team) {
-    cluster_.read_through([this, team](bool fresh) {
-        locks_[team].taking = false;
-        if (fresh && on_held) on_held(team);
+void TeamLocks::catch_up(const TeamName& team) {
+    cluster_.read_through([this, team](bool is_fresh) {
+        Lock& lock = locks_[team];
+        lock.state = lock.state == LockState::catching_up ? LockState::held : LockState::not_held;
+        if (is_fresh) on_ready_(team);
     });
 }
 
-void TeamLocks::committed(const TeamName& team, Revision at) {
+void TeamLocks::on_committed(const TeamName& team, Revision revision) {
     Lock& lock = locks_[team];
-    lock.last_commit = std::max(lock.last_commit, at);
-    // The model was read anew while the commit was under way, and may lack the commit's job.
-    if (lock.model_generation != state_cache_.generation())
-        lock.complete_from = std::max(lock.complete_from, at);
+    lock.last_commit = std::max(lock.last_commit, revision);
+    // The cache was reloaded while the commit was under way, and may lack the commit's job.
+    if (lock.generation != state_cache_.generation())
+        lock.complete_from = std::max(lock.complete_from, revision);
 }
 
-void TeamLocks::invalidate(const TeamName& team) { locks_[team].token.reset(); }
+void TeamLocks::invalidate(const TeamName& team) {
+    Lock& lock = locks_[team];
+    // While it catches up, the read that is under way ends the acquisition without a token.
+    lock.state = lock.state == LockState::held || lock.state == LockState::not_held ? LockState::not_held
+                                                                                    : LockState::acquiring;
+}
 
 }  // namespace zincdyke
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -301,7 +301,7 @@
     if (t.cause == wire::ExitCause::error) note_error(id, m, job);
     if (t.cause == wire::ExitCause::no_room || t.cause == wire::ExitCause::unknown)
         m.blocked_until = std::max(m.blocked_until, env_.now() + seconds(3));
-    committer_.commit_release(t.task, t.attempt, id, wire::cause_name(t.cause));
+    committer_.commit_release(t.task, t.attempt, id, release_reason(t.cause));
 }
 
 // What is placed here and not in the report: to be ordered to run, or, by proof, over.
@@ -325,8 +325,10 @@
     if (unwanted) {
         // Absent from a check-in that shows our term: no order of an earlier owner counts any more, and those
         // in answers of ours to earlier check-ins were executed or dropped before this one was sent.
-        const char* why = was_here ? "vanished" : never_took ? "not_taken" : "not_started";
-        if (r.token.term == mine) committer_.commit_release(ref, s.attempt, id, why);
+        const ReleaseReason reason = was_here     ? ReleaseReason::missing_from_heartbeat
+                                     : never_took ? ReleaseReason::start_not_acknowledged
+                                                  : ReleaseReason::never_started;
+        if (r.token.term == mine) committer_.commit_release(ref, s.attempt, id, reason);
         return std::nullopt;
     }
     if (ordered && m.hears) {
@@ -714,7 +716,8 @@
             gone_order_.pop_front();
         }
         for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id)))
-            committer_.commit_release(ref, state_cache_.task(ref).attempt, id, "machine_returned");
+            committer_.commit_release(ref, state_cache_.task(ref).attempt, id,
+                                      ReleaseReason::machine_terminated);
         if (state_cache_.tasks_on(id).empty()) machines_.erase(id);
         state_cache_.forget_machine(id);
     }
@@ -936,7 +939,8 @@
             m.lapsed_term = *mine;
             m.hears = false;
             for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id)))
-                committer_.commit_release(ref, state_cache_.task(ref).attempt, id, "lease_lapsed");
+                committer_.commit_release(ref, state_cache_.task(ref).attempt, id,
+                                          ReleaseReason::lease_expired);
         }
         if (m.draining && now - m.drain_since > seconds(20)) m.draining = false;
         const SteadyTime heard = std::max(m.last_heard, m.first_known);
