--- /dev/null
+++ b/src/workers/leadership_announcer.cpp
@@ -0,0 +1,117 @@
+#include "workers/leadership_announcer.h"
+
+#include <algorithm>
+
+#include "workers/http_messages.h"
+
+namespace zincdyke {
+
+LeadershipAnnouncer::LeadershipAnnouncer(Env& env, const StateCache& state_cache,
+                                         const ClusterCoordinator& cluster, MachineRegistry& registry)
+    : env_(env), state_cache_(state_cache), cluster_(cluster), registry_(registry) {}
+
+bool LeadershipAnnouncer::may_keep(const MachineId& id) const {
+    return !registry_.is_terminated(id) &&
+           (targets_.size() < MachineRegistry::max_machines || targets_.contains(id));
+}
+
+void LeadershipAnnouncer::on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat) {
+    const SteadyTime now = env_.now();
+    for (const auto& status : heartbeat.machines) {
+        if (status.address.empty() || !may_keep(status.id)) continue;
+        Target& target = targets_[status.id];
+        target.address = status.address;
+        target.agent_epoch = std::max(target.agent_epoch, status.agent_epoch);
+        target.last_confirmed = now;
+    }
+}
+
+void LeadershipAnnouncer::on_machines_discovered(const wire::MachinesDiscoveredNotification& notification) {
+    for (const auto& machine : notification.machines) {
+        if (!may_keep(machine.id)) continue;
+        Target& target = targets_[machine.id];
+        target.address = machine.address;
+        target.last_confirmed = env_.now();
+    }
+}
+
+void LeadershipAnnouncer::on_machine_terminated(const MachineId& id) {
+    const auto found = targets_.find(id);
+    if (found != targets_.end() && !found->second.is_in_flight) targets_.erase(found);
+}
+
+void LeadershipAnnouncer::restart(std::uint32_t shard) {
+    for (auto& [id, target] : targets_)
+        if (state_cache_.shard_of(id) == shard) {
+            target.next_attempt = {};
+            target.attempts = 0;
+        }
+}
+
+void LeadershipAnnouncer::announce_due() {
+    const SteadyTime now = env_.now();
+    std::erase_if(targets_, [&](const auto& entry) {
+        return !entry.second.is_in_flight && now - entry.second.last_confirmed > address_timeout;
+    });
+    for (auto& [id, target] : targets_) {
+        if (in_flight_count_ >= max_concurrent_announcements) return;
+        if (target.is_in_flight || target.next_attempt > now) continue;
+        const auto term = cluster_.leader_term(id);
+        const Machine* machine = registry_.find(id);
+        const bool is_known = term && machine != nullptr && machine->link.has_shown(*term);
+        if (term && !is_known) announce(id, target, *term);
+    }
+}
+
+void LeadershipAnnouncer::announce(const MachineId& id, Target& target, Term term) {
+    target.is_in_flight = true;
+    ++in_flight_count_;
+    env_.http(target.address, http_messages::commands(registry_.token_for(id, term), {}, target.agent_epoch),
+              http_messages::command_timeout,
+              [this, id, term](const HttpResponse& response) { on_response(id, term, response); });
+}
+
+// The response to a command shows the agent's state, also where it refuses the command (409).
+void LeadershipAnnouncer::on_response(const MachineId& id, Term term, const HttpResponse& response) {
+    --in_flight_count_;
+    const auto found = targets_.find(id);
+    if (found == targets_.end()) return;
+    Target& target = found->second;
+    target.is_in_flight = false;
+    auto heartbeat = response.status == 200 || response.status == 409 ? wire::parse_heartbeat(response.body)
+                                                                      : std::nullopt;
+    if (heartbeat && heartbeat->machine != id) heartbeat.reset();
+    const bool is_wrong_epoch = heartbeat && heartbeat->sequence.agent_epoch != target.agent_epoch;
+    if (is_wrong_epoch) target.agent_epoch = heartbeat->sequence.agent_epoch;
+    // Told again at once under the epoch that the response shows, but for one time only.
+    if (is_wrong_epoch && target.attempts == 0)
+        target.next_attempt = {};
+    else
+        schedule_retry(target);
+    ++target.attempts;
+    if (!heartbeat || heartbeat->token.term != term || cluster_.leader_term(id) != term ||
+        registry_.is_terminated(id)) {
+        if (is_wrong_epoch) announce_due();
+        return;
+    }
+    target.attempts = 0;
+    Machine& machine = registry_.find_or_add(id);
+    if (machine.link.is_stale(heartbeat->sequence, term)) return;
+    machine.apply(*heartbeat, term, HeartbeatSource::command_response, env_.now());
+    // Its last heartbeat that was answered was sent before this response: a lease runs from here at most.
+    machine.link.note_received(env_.now());
+}
+
+void LeadershipAnnouncer::schedule_retry(Target& target) const {
+    target.next_attempt =
+        env_.now() +
+        std::min(max_retry_delay, first_retry_delay * (1 << std::min(target.attempts, max_doublings)));
+}
+
+std::map<std::uint32_t, std::size_t> LeadershipAnnouncer::machine_counts() const {
+    std::map<std::uint32_t, std::size_t> counts;
+    for (const auto& [id, target] : targets_) ++counts[state_cache_.shard_of(id)];
+    return counts;
+}
+
+}  // namespace zincdyke
--- a/src/workers/start_times.cpp
+++ b/src/workers/start_times.cpp
@@ -27,9 +27,9 @@
         case StartStep::commit:
             return progress.committed - progress.assigned;
         case StartStep::delivery:
-            return progress.ordered - progress.committed;
+            return progress.sent - progress.committed;
         case StartStep::image:
-            return progress.image_ready - progress.ordered;
+            return progress.image_ready - progress.sent;
         case StartStep::gang:
             return running - progress.image_ready;
     }
@@ -37,9 +37,9 @@
 }
 
 void StartTimes::add(const std::string& job_class, const StartProgress& progress, SteadyTime running) {
-    if (by_class_.size() >= most_classes && !by_class_.contains(job_class)) return;
+    if (by_class_.size() >= max_classes && !by_class_.contains(job_class)) return;
     Steps& steps = by_class_[job_class];
-    for (std::size_t i = 0; i < start_steps; ++i) {
+    for (std::size_t i = 0; i < start_step_count; ++i) {
         const double took = to_seconds(step_time(progress, static_cast<StartStep>(i), running));
         const auto bucket = std::lower_bound(bounds_s.begin(), bounds_s.end(), took) - bounds_s.begin();
         ++steps[i][static_cast<std::size_t>(bucket)];
--- a/src/workers/start_times.h
+++ b/src/workers/start_times.h
@@ -1,4 +1,4 @@
-// Where the time between a task's submission and its run goes, by job class; shown in the status.
+/// Where the time between a task's submission and its run goes, by job class; shown in the status.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,38 +9,40 @@
 
 namespace zincdyke {
 
-// The steps that a start passes through, in this order.
+/// The steps that a start passes through, in this order.
 enum class StartStep : std::uint8_t {
-    queue,     // from submission until an owner has room for it
-    commit,    // until the state service has its start
-    delivery,  // until an answer to the machine's check-in carries the run order
+    queue,     // from submission until a leader has capacity for it
+    commit,    // until the key-value store has its start
+    delivery,  // until a response to the machine's heartbeat carries the start command
     image,     // until the machine reports that it has the image
     gang       // until all members of its gang run
 };
-constexpr std::size_t start_steps = 5;
-const char* step_name(StartStep step);
+constexpr std::size_t start_step_count = 5;
+/// As the status names it.
+[[nodiscard]] const char* step_name(StartStep step);
 
-// When one start passed its steps, on this node's steady clock.
+/// When one start passed its steps, on this node's steady clock; zero: not yet.
 struct StartProgress {
     Duration queued{};
-    SteadyTime assigned{}, committed{}, ordered{}, image_ready{};
+    SteadyTime assigned{}, committed{}, sent{}, image_ready{};
 };
 
-// How long a step took.
-Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running);
+/// How long a step took of a start whose task runs since `running`.
+[[nodiscard]] Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running);
 
-// Counts of starts by how long each step took.
+/// Counts of starts by how long each step took.
 class StartTimes {
   public:
-    static constexpr std::array<double, 6> bounds_s{0.5, 1,  2,
-                                                    5,   10, 30};  // the last bucket has no upper bound
+    /// Upper bounds of the buckets; the last bucket has none.
+    static constexpr std::array<double, 6> bounds_s{0.5, 1, 2, 5, 10, 30};
     using Histogram = std::array<std::uint64_t, bounds_s.size() + 1>;
-    using Steps = std::array<Histogram, start_steps>;
+    using Steps = std::array<Histogram, start_step_count>;
+    /// Counts a start whose task runs since `running`. Job classes beyond the first hundred are left out.
     void add(const std::string& job_class, const StartProgress& progress, SteadyTime running);
-    const std::map<std::string, Steps>& by_class() const { return by_class_; }
+    [[nodiscard]] const std::map<std::string, Steps>& by_class() const { return by_class_; }
 
   private:
-    static constexpr std::size_t most_classes = 100;
+    static constexpr std::size_t max_classes = 100;
     std::map<std::string, Steps> by_class_;
 };
 
