--- a/src/workers/lease_monitor.cpp
+++ b/src/workers/lease_monitor.cpp
@@ -45,7 +45,7 @@
         const bool was_heard = contact.last_heartbeat > contact.acquired;
         const bool fell_silent = was_heard && now - contact.last_heartbeat > max_silence &&
                                  reachable_counts[shard] >= min_silent_machines;
-        // The next leader may be as deaf: it passes the shard on after two leases.
+        // Should the next leader receive none either, it passes the shard on after two leases.
         const bool was_never_heard =
             !was_heard && now - contact.acquired > 2 * lease && known_counts[shard] >= min_silent_machines;
         if (fell_silent || was_never_heard) cluster_.transfer_leadership(shard);
