--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,13 +1,13 @@
 // The checker must be able to fail: each rule's violation, planted, is found.
-#include "checker.h"
-
 #include <gtest/gtest.h>
 
+#include "fakes/history_checker.h"
+
 namespace zincdyke::testing {
 namespace {
 
 struct Planted : ::testing::Test {
-    Checker c;
+    HistoryChecker c;
     void SetUp() override {
         c.limits["blue"] = {4, 0};
         c.machine("m1", {"small", "a", false});
--- /dev/null
+++ b/tests/deployment_helpers.h
@@ -0,0 +1,90 @@
+// What the stories share: jobs by number, users who poll to the end, and the verdict.
+#pragma once
+#include <gtest/gtest.h>
+
+#include "fakes/simulated_deployment.h"
+
+namespace zincdyke::testing {
+
+inline std::string job_id(int n) {
+    char b[32];
+    std::snprintf(b, sizeof b, "job-%06d", n);
+    return b;
+}
+
+// Polls as users do until each job's final state is told; false when that takes longer than `most`.
+inline bool all_reach_final_state(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
+                                  double most) {
+    double end = deployment.now() + most;
+    for (;;) {
+        bool all = true;
+        for (const auto& id : ids) {
+            if (deployment.last_phase(id) == "done" || deployment.last_phase(id) == "withdrawn") continue;
+            all = false;
+            if (deployment.is_accepted(id)) deployment.poll(id);
+        }
+        if (all) return true;
+        if (deployment.now() > end) {
+            for (const auto& id : ids)
+                if (deployment.last_phase(id) != "done" && deployment.last_phase(id) != "withdrawn")
+                    ADD_FAILURE() << id << " accepted " << deployment.is_accepted(id) << " told '"
+                                  << deployment.last_phase(id) << "' state service: "
+                                  << (deployment.store.data.contains("z/j/" + id)
+                                          ? deployment.store.data["z/j/" + id].value.dump()
+                                          : "-")
+                                  << (deployment.store.data.contains("z/t/" + id + "/0")
+                                          ? deployment.store.data["z/t/" + id + "/0"].value.dump()
+                                          : "-")
+                                  << deployment.store.data.contains("f/" + id) << " asked directly: " <<
+                        [&] {
+                            std::string answers;
+                            for (int n = 0; n < deployment.controller_count(); ++n)
+                                answers += deployment.is_running(n)
+                                               ? std::to_string(
+                                                     deployment.request(n, "GET", "/api/jobs/" + id).status) +
+                                                     " "
+                                               : "down ";
+                            return answers;
+                        }()
+                                  << (deployment.users.is_cancelling(id)
+                                          ? "its cancellation was never answered"
+                                          : "");
+            return false;
+        }
+        deployment.run(2);
+    }
+}
+
+inline void expect_no_violations(SimulatedDeployment& deployment) {
+    deployment.checker.finish();
+    for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
+    EXPECT_EQ(deployment.store.oversize_write, "");
+}
+
+inline std::vector<std::string> submit_jobs(SimulatedDeployment& deployment, int first, int jobs, int tasks,
+                                            double run_s = 6) {
+    std::vector<std::string> ids;
+    for (int i = 0; i < jobs; ++i) {
+        ids.push_back(job_id(first + i));
+        deployment.submit(deployment.job(ids.back(), tasks, 1, run_s));
+    }
+    return ids;
+}
+
+// After the troubles: all is told its end, in time, no room stood idle, and every rule held.
+inline void expect_recovery(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
+                            double most = 200) {
+    deployment.checker.troubles_over = deployment.now();
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, most));
+    deployment.checker.judge_service();
+    expect_no_violations(deployment);
+}
+
+inline DeploymentOptions options_with_seed(std::uint64_t seed, std::vector<std::string> zones = {"a"}) {
+    DeploymentOptions o;
+    o.seed = seed;
+    o.zones = std::move(zones);
+    return o;
+}
+
+}  // namespace zincdyke::testing
--- /dev/null
+++ b/tests/fakes/simulated_deployment.h
@@ -0,0 +1,134 @@
+/// A whole deployment in memory: real controllers, and around them a simulated network, key-value store,
+/// cloud, workers and users, on one simulated clock and one seeded source of random numbers.
+#pragma once
+#include <functional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "fakes/cloud.h"
+#include "fakes/controller_hosts.h"
+#include "fakes/history_checker.h"
+#include "fakes/http_transport.h"
+#include "fakes/key_value_store.h"
+#include "fakes/message_faults.h"
+#include "fakes/network.h"
+#include "fakes/random_source.h"
+#include "fakes/simulated_clock.h"
+#include "fakes/users.h"
+#include "fakes/waiting_job_monitor.h"
+#include "fakes/workers.h"
+#include "message_recorder.h"
+
+namespace zincdyke::testing {
+
+/// What a deployment looks like: its settings and what is around it.
+struct DeploymentOptions {
+    std::uint64_t seed = 1;
+    int controllers = 3;
+    std::vector<std::string> zones{"a"};
+    /// The settings' teams, as TOML.
+    std::string teams =
+        "[[params.teams]]\nname = \"red\"\ncpus = 0\ncpus_max = 0\ngpus = 0\ngpus_max = 0\n"
+        "[[params.teams]]\nname = \"blue\"\ncpus = 0\ncpus_max = 12\ngpus = 0\ngpus_max = 0\n";
+    int cloud_capacity = 40;  ///< Machines.
+    double boot_s = 5;
+    double heartbeat_interval_s = 1.5, lease_s = 10, cancel_s = 30;
+    /// Limits of the key-value store and of the cloud, as the settings announce them; `max_value_kb` and
+    /// `max_operations` (of a transaction) also hold in the store.
+    double max_value_kb = 4;
+    int max_operations = 8;
+    double store_requests_per_s = 200, store_writes_per_s = 40, cloud_requests_per_s = 8;
+    /// The key-value store and the cloud reject what is over these rates.
+    bool enforce_rate_limits = false;
+    /// What the settings announce as the store's next limits; 0: none.
+    double next_max_value_kb = 0, next_store_writes_per_s = 0;
+    int next_max_operations = 0;
+    double memory_mb = 56;  ///< Of a controller.
+    int max_sockets = 900;
+    std::size_t list_page_size = 7;  ///< Of the store's lists; small, so that paging is always exercised.
+    double worker_tick_s = 0.1;      ///< How often a worker looks at its clock.
+    /// Controllers that begin with production's version.
+    std::set<int> production_controllers;
+    /// Is told every message, if there is one; must outlive the deployment.
+    MessageRecorder* recorder = nullptr;
+};
+
+/// Composes the fakes and lets time pass. Each part owns its state and its faults: tests set `store.outage`,
+/// `network.loss`, `faults.late_commits` and the like directly; the functions here are short forms of the
+/// most common steps. Controllers are numbered from 0. All times are simulated seconds.
+class SimulatedDeployment {
+  public:
+    using Options = DeploymentOptions;
+    explicit SimulatedDeployment(Options options = {});
+    ~SimulatedDeployment() { clock.clear(); }
+    SimulatedDeployment(const SimulatedDeployment&) = delete;
+    SimulatedDeployment& operator=(const SimulatedDeployment&) = delete;
+
+    // Time and chance.
+    [[nodiscard]] double now() const { return clock.now(); }
+    void after(double delay, std::function<void()> fn) { clock.after(delay, std::move(fn)); }
+    void run(double seconds) { clock.run(seconds); }
+    bool run_until(const std::function<bool()>& condition, double timeout) {
+        return clock.run_until(condition, timeout);
+    }
+    double chance() { return random.chance(); }
+
+    // Controllers.
+    [[nodiscard]] int controller_count() const { return static_cast<int>(controllers.count()); }
+    [[nodiscard]] static std::string controller_name(int i) { return ControllerHosts::name(index(i)); }
+    [[nodiscard]] bool is_running(int i) const { return controllers.is_running(index(i)); }
+    [[nodiscard]] Node& controller(int i) { return controllers.node(index(i)); }
+    void start_controller(int i) { controllers.start(index(i)); }
+    void crash_controller(int i) { controllers.crash(index(i)); }
+    void freeze_controller(int i, double seconds) { controllers.freeze(index(i), seconds); }
+    void upgrade_controller(int i, double down_s = 0.5) { controllers.upgrade(index(i), down_s); }
+    /// Sends a request without network and waits for the response.
+    HttpResponse request(int i, const std::string& method, const std::string& path,
+                         const std::string& body = "", double timeout = 5);
+
+    void set_link(const std::string& one, const std::string& other, LinkState state) {
+        network.set_link(one, other, state);
+    }
+
+    // Users and their jobs.
+    /// A batch job's body; tests change what they need.
+    [[nodiscard]] static Json job(const std::string& id, int tasks, double cpu = 1, double run_s = 5,
+                                  const std::string& team = "red");
+    void submit(const Json& body, int controller = FakeUsers::any_controller) {
+        users.submit(body, controller);
+    }
+    void poll(const std::string& id, int controller = FakeUsers::any_controller) {
+        users.poll(id, controller);
+    }
+    void cancel(const std::string& id, int controller = FakeUsers::any_controller) {
+        users.cancel(id, controller);
+    }
+    [[nodiscard]] std::string last_phase(const std::string& id) const { return users.last_phase(id); }
+    [[nodiscard]] bool is_done(const std::string& id) const { return last_phase(id) == "done"; }
+    [[nodiscard]] bool is_accepted(const std::string& id) const { return users.is_accepted(id); }
+
+  private:
+    Options options_;
+
+  public:
+    SimulatedClock clock;
+    RandomSource random;
+    MessageFaults faults;
+    HistoryChecker checker;
+    FakeNetwork network;
+    FakeKeyValueStore store;
+    ControllerHosts controllers;
+    FakeUsers users;
+    FakeWorkers workers;
+    FakeCloud cloud;
+
+  private:
+    static std::size_t index(int i) { return static_cast<std::size_t>(i); }
+    void add_controllers();
+    void tick();
+    HttpTransport transport_;
+    WaitingJobMonitor waiting_jobs_;
+};
+
+}  // namespace zincdyke::testing
--- /dev/null
+++ b/tests/fakes/users.cpp
@@ -0,0 +1,139 @@
+#include "fakes/users.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "fakes/http_transport.h"
+
+namespace zincdyke::testing {
+
+namespace {
+
+constexpr int max_tries = 60;
+constexpr double retry_timeout_s = 5, poll_timeout_s = 1.9;
+constexpr double retry_delay_s = 1;
+constexpr double cancellation_delay_s = 2;
+
+std::string phase_of(const HttpResponse& response) {
+    const Json body = Json::parse(response.body, nullptr, false);
+    return body.is_object() ? body.value("phase", "") : "";
+}
+
+JobFacts facts_of(const Json& body, double now) {
+    JobFacts facts;
+    facts.team = body["crew"].get<std::string>();
+    facts.tasks = body["shards"].get<int>();
+    facts.job_class = body.value("ilk", "");
+    facts.at = now;
+    facts.cpu = body["vcpus"].get<double>();
+    facts.gpu = body["gpus"].get<double>();
+    facts.one_zone = body["one_zone"].get<bool>();
+    facts.spread = body["apart"].get<bool>();
+    facts.spot = body["loaners"].get<bool>();
+    if (body.contains("field") && body["field"].is_string()) facts.zone = body["field"].get<std::string>();
+    if (body.contains("breeds") && body["breeds"].is_array()) {
+        facts.types_given = true;
+        for (const auto& type : body["breeds"]) facts.types.insert(type.get<std::string>());
+    }
+    return facts;
+}
+
+}  // namespace
+
+std::string FakeUsers::last_phase(const std::string& id) const {
+    const auto phase = last_phases_.find(id);
+    return phase == last_phases_.end() ? "" : phase->second;
+}
+
+bool FakeUsers::is_accepted(const std::string& id) const {
+    const auto job = jobs_.find(id);
+    return job != jobs_.end() && job->second.accepted;
+}
+
+void FakeUsers::submit(const Json& body, int controller) {
+    const std::string id = body["uid"].get<std::string>();
+    jobs_[id].body = body;
+    checker_.submitted(id, facts_of(body, clock_.now()));
+    send({Kind::submit, id, {"POST", "/api/jobs", body.dump()}, controller, max_tries});
+}
+
+void FakeUsers::poll(const std::string& id, int controller) {
+    checker_.asked(clock_.now(), id);
+    // A user has one request under way at a time: answers of two could arrive in either order.
+    if (!cancelling_.contains(id)) send({Kind::poll, id, {"GET", "/api/jobs/" + id, ""}, controller, 1});
+}
+
+void FakeUsers::cancel(const std::string& id, int controller) {
+    checker_.asked_to_cancel(id);
+    cancelling_.insert(id);
+    clock_.after(cancellation_delay_s, [this, id, controller] {
+        send({Kind::cancel, id, {"POST", "/api/jobs/" + id + "/cancel", ""}, controller, max_tries});
+    });
+}
+
+void FakeUsers::send(const Request& request) {
+    if (request.tries_left <= 0) {
+        // Who gives up cancelling goes on asking for the job's state.
+        if (request.kind == Kind::cancel) cancelling_.erase(request.job);
+        return;
+    }
+    Try attempt;
+    attempt.request = request;
+    attempt.host = request.controller >= 0 ? static_cast<std::size_t>(request.controller)
+                                           : random_.draw() % controllers_.count();
+    attempt.sent_at = clock_.now();
+    clock_.after(is_retried(request) ? retry_timeout_s : poll_timeout_s, [this, attempt] {
+        if (!std::exchange(*attempt.answered, true) && is_retried(attempt.request))
+            retry_later(attempt.request);
+    });
+    if (!controllers_.is_running(attempt.host)) return;
+    network_.send("users", ControllerHosts::name(attempt.host), [this, attempt] { deliver(attempt); });
+}
+
+void FakeUsers::retry_later(const Request& request) {
+    clock_.after(retry_delay_s, [this, request] {
+        Request next = request;
+        --next.tries_left;
+        send(next);
+    });
+}
+
+void FakeUsers::deliver(const Try& attempt) {
+    const std::size_t host = attempt.host;
+    if (!controllers_.is_running(host)) return;
+    auto send_back = [this, attempt](const HttpResponse& response) {
+        network_.send(ControllerHosts::name(attempt.host), "users",
+                      [this, attempt, response] { on_response(attempt, response); });
+    };
+    controllers_.deliver(host, controllers_.incarnation(host), 0, [this, attempt, send_back] {
+        controllers_.request(attempt.host, "users", attempt.request.http, send_back);
+    });
+}
+
+void FakeUsers::on_response(const Try& attempt, const HttpResponse& response) {
+    if (std::exchange(*attempt.answered, true)) return;
+    const Request& request = attempt.request;
+    slowest_response_s_ = std::max(slowest_response_s_, clock_.now() - attempt.sent_at);
+    if (response.status < 300)
+        maybe_duplicate(clock_, random_, faults_, request.http, [this, request] { duplicate(request); });
+    const std::string phase = phase_of(response);
+    checker_.told(clock_.now(), request.job, request.kind == Kind::submit, response.status, phase);
+    if (response.status == 200 || response.status == 201) {
+        if (request.kind == Kind::submit) jobs_[request.job].accepted = true;
+        last_phases_[request.job] = phase;
+        if (request.kind == Kind::cancel) cancelling_.erase(request.job);
+    } else if (response.status >= 429 && is_retried(request)) {
+        retry_later(request);
+    }
+}
+
+void FakeUsers::duplicate(const Request& request) {
+    const std::size_t host = random_.draw() % controllers_.count();
+    if (!controllers_.is_running(host) || controllers_.is_frozen(host)) return;
+    controllers_.request(host, "copy", request.http, [this, request](const HttpResponse& response) {
+        checker_.told(clock_.now(), request.job, request.kind == Kind::submit, response.status,
+                      phase_of(response));
+    });
+}
+
+}  // namespace zincdyke::testing
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,7 +1,7 @@
 // Stories of the whole fleet: many times as many machines, and what befalls hundreds of them at once.
 #include <gtest/gtest.h>
 
-#include "story.h"
+#include "deployment_helpers.h"
 
 namespace zincdyke::testing {
 namespace {
@@ -14,85 +14,86 @@
 #endif
 
 // Budgets, leases and limits as a fleet of that size has them.
-World::Options fleet_options(int nodes, int machines, std::uint64_t seed = 1) {
-    World::Options o;
+DeploymentOptions fleet_options(int nodes, int machines, std::uint64_t seed = 1) {
+    DeploymentOptions o;
     o.seed = seed;
-    o.nodes = nodes;
-    o.capacity = machines + machines / 10;
-    o.value_kb = 8;
-    o.report_s = 5;
+    o.controllers = nodes;
+    o.cloud_capacity = machines + machines / 10;
+    o.max_value_kb = 8;
+    o.heartbeat_interval_s = 5;
     o.lease_s = 26.5;
     o.cancel_s = 46.5;
-    o.state_rps = 600;
-    o.write_rps = 70;
-    o.cloud_rps = 7;
+    o.store_requests_per_s = 600;
+    o.store_writes_per_s = 70;
+    o.cloud_requests_per_s = 7;
     o.memory_mb = 188;
     o.max_sockets = 3000;
-    o.worker_step = 0.25;
-    o.budgets = true;
+    o.worker_tick_s = 0.25;
+    o.enforce_rate_limits = true;
     o.boot_s = 20;
     return o;
 }
 
 struct FleetStory {
-    World w;
+    SimulatedDeployment deployment;
     int machines;
     std::vector<std::string> ids;
     int next = 1;
-    explicit FleetStory(const World::Options& o, int count) : w(o), machines(count) {
-        for (int i = 0; i < machines; ++i) w.add_machine("small", "a", false, 1 + 4 * w.chance());
+    explicit FleetStory(const DeploymentOptions& o, int count) : deployment(o), machines(count) {
+        for (int i = 0; i < machines; ++i)
+            deployment.workers.add("small", "a", false, 1 + 4 * deployment.chance());
     }
     // Jobs of 40 tasks that take a machine each.
     void submit(int tasks, double run_s) {
         for (int left = tasks; left > 0; left -= 40) {
-            ids.push_back(id_of(next++));
-            Json j = w.job(ids.back(), std::min(left, 40), 4, run_s);
+            ids.push_back(job_id(next++));
+            Json j = deployment.job(ids.back(), std::min(left, 40), 4, run_s);
             j["loaners"] = false;
             j["cask"] = "img-" + std::to_string(next % 7);
-            w.submit(j);
+            deployment.submit(j);
         }
     }
     int running() {
         int n = 0;
-        for (const auto& id : ids) n += w.on_machines(id);
+        for (const auto& id : ids) n += deployment.workers.executing_tasks(id);
         return n;
     }
     // Some machines at random; busy ones, if asked.
     std::vector<std::string> some(int n, bool busy = false) {
         std::vector<std::string> all, out;
-        for (auto& [id, m] : w.workers())
+        for (auto& [id, m] : deployment.workers.all())
             if (m.alive && (!busy || !m.tasks.empty())) all.push_back(id);
-        std::sample(all.begin(), all.end(), std::back_inserter(out), n, w.rng);
+        std::sample(all.begin(), all.end(), std::back_inserter(out), n, deployment.random.engine());
         return out;
     }
     // Every job's user asks as users do, until all are told the end.
     bool all_done(double most) {
-        const double end = w.now() + most;
+        const double end = deployment.now() + most;
         for (;;) {
             bool all = true;
             for (const auto& id : ids)
-                if (!w.done(id)) {
+                if (!deployment.is_done(id)) {
                     all = false;
-                    if (w.accepted(id)) w.poll(id);
+                    if (deployment.is_accepted(id)) deployment.poll(id);
                 }
             if (all) return true;
-            if (w.now() > end) return false;
-            w.run(5);
+            if (deployment.now() > end) return false;
+            deployment.run(5);
         }
     }
     void expect_bounds() {
-        for (int n = 0; n < w.nodes(); ++n) {
-            if (!w.up(n)) continue;
-            const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
+        for (int n = 0; n < deployment.controller_count(); ++n) {
+            if (!deployment.is_running(n)) continue;
+            const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
             EXPECT_LT(status["ledger_queue"].get<int>(), 2 * machines);
         }
-        EXPECT_LE(w.most_calls, 256U);
+        EXPECT_LE(deployment.controllers.max_open_worker_requests(), 256U);
     }
-    void expect_rules() {
-        w.checker.finish();
-        w.checker.judge_service();
-        for (const auto& b : w.checker.broken) ADD_FAILURE() << b;
-        EXPECT_EQ(w.store.oversize, "");
+    void expect_no_violations() {
+        deployment.checker.finish();
+        deployment.checker.judge_service();
+        for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
+        EXPECT_EQ(deployment.store.oversize_write, "");
     }
 };
 
@@ -100,34 +101,35 @@
 // one of them.
 void all_back_at_once(int nodes, int machines) {
     FleetStory s(fleet_options(nodes, machines), machines);
-    World& w = s.w;
-    w.run(8);
+    SimulatedDeployment& deployment = s.deployment;
+    deployment.run(8);
     s.submit(machines * 9 / 10, 90);
-    ASSERT_TRUE(w.run_until([&] { return s.running() >= machines * 9 / 10; }, 45)) << s.running();
-    const int starts = w.checker.starts;
+    ASSERT_TRUE(deployment.run_until([&] { return s.running() >= machines * 9 / 10; }, 45)) << s.running();
+    const int starts = deployment.checker.starts;
     // Twice: the second time while the fleet has hardly come back.
     for (int time = 0; time < 2; ++time) {
-        for (int n = 0; n < nodes; ++n) w.crash(n);
-        w.run(0.3);
-        for (int n = 0; n < nodes; ++n) w.start_node(n);
-        for (auto& [id, m] : w.workers()) {
-            m.node = 0;
-            m.next_report = w.now();
+        for (int n = 0; n < nodes; ++n) deployment.crash_controller(n);
+        deployment.run(0.3);
+        for (int n = 0; n < nodes; ++n) deployment.start_controller(n);
+        for (auto& [id, m] : deployment.workers.all()) {
+            m.controller = 0;
+            m.next_heartbeat = deployment.now();
         }
-        if (time == 0) w.run(2);
+        if (time == 0) deployment.run(2);
     }
     // Work for the machines that are free: it begins, and a poll and a submission are answered, within
     // seconds.
     s.submit(machines / 20, 10);
-    const int before = w.on_machines(s.ids.back());
+    const int before = deployment.workers.executing_tasks(s.ids.back());
     EXPECT_EQ(before, 0);
-    EXPECT_TRUE(w.run_until([&] { return w.on_machines(s.ids.back()) > 0; }, 15));
-    EXPECT_EQ(w.ask(nodes - 1, "GET", "/api/jobs/" + s.ids.front()).status, 200);
-    EXPECT_LT(w.checker.starts - starts, machines / 20 + 40);  // nothing that ran was started again
+    EXPECT_TRUE(
+        deployment.run_until([&] { return deployment.workers.executing_tasks(s.ids.back()) > 0; }, 15));
+    EXPECT_EQ(deployment.request(nodes - 1, "GET", "/api/jobs/" + s.ids.front()).status, 200);
+    EXPECT_LT(deployment.checker.starts - starts, machines / 20 + 40);  // nothing that ran was started again
     s.expect_bounds();
     EXPECT_TRUE(s.all_done(240));
-    EXPECT_EQ(w.checker.starts, starts + machines / 20);
-    s.expect_rules();
+    EXPECT_EQ(deployment.checker.starts, starts + machines / 20);
+    s.expect_no_violations();
 }
 
 TEST(WorkerManager, SevenControllersBackAtOnce) { all_back_at_once(7, 2000 / shrink); }
@@ -138,24 +140,24 @@
 TEST(WorkerManager, BurstOfShortTasks) {
     const int machines = 400 / shrink;
     FleetStory s(fleet_options(7, machines), machines);
-    World& w = s.w;
-    w.run(8);
+    SimulatedDeployment& deployment = s.deployment;
+    deployment.run(8);
     for (int i = 0; i < 30; ++i) {
         s.submit(machines / 4, 15);
-        w.run(1);
+        deployment.run(1);
     }
     s.expect_bounds();
     EXPECT_TRUE(s.all_done(400));
     std::uint64_t placement_requests = 0, looks = 0;
     for (int n = 0; n < 7; ++n) {
-        const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
+        const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
         placement_requests += status["workers"]["asks"].get<std::uint64_t>();
         looks += status["workers"]["rooms"].get<std::uint64_t>();
     }
     // Without the memory of it: once for each of an owner's machines in each ask.
     EXPECT_GT(placement_requests, 500U);
     EXPECT_LT(looks, placement_requests * static_cast<std::uint64_t>(machines) / 7 / 4);
-    s.expect_rules();
+    s.expect_no_violations();
 }
 
 // A third of the machines is cut off for longer than a lease, with what is sent meanwhile delivered late,
@@ -164,37 +166,38 @@
 void third_cut(bool hang) {
     const int machines = 300 / shrink;
     FleetStory s(fleet_options(3, machines), machines);
-    World& w = s.w;
-    w.run(8);
+    SimulatedDeployment& deployment = s.deployment;
+    deployment.run(8);
     s.submit(machines * 6 / 10, 150);
-    ASSERT_TRUE(w.run_until([&] { return s.running() >= machines * 6 / 10; }, 45));
+    ASSERT_TRUE(deployment.run_until([&] { return s.running() >= machines * 6 / 10; }, 45));
     const auto cut = s.some(machines / 3, true);
     for (const auto& id : cut) {
         if (hang) {
-            w.hang(id, 40);
+            deployment.workers.hang(id, 40);
             continue;
         }
-        for (int n = 0; n < 3; ++n) w.link(id, w.name(n), Link::hold);
-        w.at(45, [&w, id] {
-            for (int n = 0; n < 3; ++n) w.link(id, w.name(n), Link::up);
+        for (int n = 0; n < 3; ++n) deployment.set_link(id, deployment.controller_name(n), LinkState::hold);
+        deployment.after(45, [&deployment, id] {
+            for (int n = 0; n < 3; ++n) deployment.set_link(id, deployment.controller_name(n), LinkState::up);
         });
     }
-    w.at(26, [&w, cut] {
+    deployment.after(26, [&deployment, cut] {
         // Within their lease they may be running: none is given up.
-        for (const auto& id : cut) EXPECT_TRUE(w.workers().contains(id)) << id;
+        for (const auto& id : cut) EXPECT_TRUE(deployment.workers.all().contains(id)) << id;
     });
-    w.run(3);
-    w.crash(0);
-    w.at(5, [&w] { w.start_node(0); });
+    deployment.run(3);
+    deployment.crash_controller(0);
+    deployment.after(5, [&deployment] { deployment.start_controller(0); });
     // Work that comes meanwhile begins, at the latest when a machine rented for it is up.
-    const int starts = w.checker.starts;
+    const int starts = deployment.checker.starts;
     s.submit(machines / 20, 20);
-    EXPECT_TRUE(w.run_until([&] { return w.checker.starts >= starts + machines / 20; }, 45));
+    EXPECT_TRUE(
+        deployment.run_until([&] { return deployment.checker.starts >= starts + machines / 20; }, 45));
     // Lost with the cut machines, at most their share; started again once their leases lapsed.
     EXPECT_TRUE(s.all_done(330));
-    EXPECT_LE(w.checker.starts, starts + machines / 20 + machines / 3);
+    EXPECT_LE(deployment.checker.starts, starts + machines / 20 + machines / 3);
     s.expect_bounds();
-    s.expect_rules();
+    s.expect_no_violations();
 }
 TEST(WorkerManager, ThirdOfTheMachinesCutWithPacketsHeld) { third_cut(false); }
 TEST(WorkerManager, ThirdOfTheMachinesHang) { third_cut(true); }
@@ -202,190 +205,198 @@
 // One controller loses the workers and nothing else, for longer than a lease: the others hear them, and take
 // its part over before anything is lost. Back in reach, it takes its part up again without harm.
 TEST(WorkerManager, OwnerThatHearsNoWorker) {
-    for (const Link cut : {Link::hold, Link::drop}) {
+    for (const LinkState cut : {LinkState::hold, LinkState::drop}) {
         FleetStory s(fleet_options(3, 60), 60);
-        World& w = s.w;
-        w.run(8);
+        SimulatedDeployment& deployment = s.deployment;
+        deployment.run(8);
         s.submit(54, 150);
-        ASSERT_TRUE(w.run_until([&] { return s.running() >= 54; }, 45));
-        const int starts = w.checker.starts;
+        ASSERT_TRUE(deployment.run_until([&] { return s.running() >= 54; }, 45));
+        const int starts = deployment.checker.starts;
         std::vector<std::string> all;
-        for (auto& [id, m] : w.workers()) all.push_back(id);
-        for (const auto& id : all) w.link("n0", id, cut);
-        w.run(40);
+        for (auto& [id, m] : deployment.workers.all()) all.push_back(id);
+        for (const auto& id : all) deployment.set_link("n0", id, cut);
+        deployment.run(40);
         EXPECT_EQ(s.running(), 54);
-        for (const auto& id : all) w.link("n0", id, Link::up);
-        w.run(60);
+        for (const auto& id : all) deployment.set_link("n0", id, LinkState::up);
+        deployment.run(60);
         for (std::uint32_t part = 0; part < 3; ++part) {
             int owners = 0;
-            for (int n = 0; n < 3; ++n) owners += w.node(n).cluster().term(part) ? 1 : 0;
+            for (int n = 0; n < 3; ++n) owners += deployment.controller(n).cluster().term(part) ? 1 : 0;
             EXPECT_EQ(owners, 1);
         }
         EXPECT_TRUE(s.all_done(200));
-        EXPECT_EQ(w.checker.starts, starts);
-        s.expect_rules();
+        EXPECT_EQ(deployment.checker.starts, starts);
+        s.expect_no_violations();
     }
 }
 
 // More questions than the state service takes requests: one read answers all who asked before it, and none is
 // left unanswered.
 TEST(WorkerManager, MoreQuestionsThanRequests) {
-    World::Options o;
-    o.budgets = true;
-    o.state_rps = 40;
-    o.write_rps = 40;
-    World w(o);
-    w.run(3);
+    DeploymentOptions o;
+    o.enforce_rate_limits = true;
+    o.store_requests_per_s = 40;
+    o.store_writes_per_s = 40;
+    SimulatedDeployment deployment(o);
+    deployment.run(3);
     std::vector<std::string> ids;
     for (int i = 0; i < 60; ++i) {
-        ids.push_back(id_of(i));
-        w.submit(w.job(ids.back(), 1, 1, 500));
+        ids.push_back(job_id(i));
+        deployment.submit(deployment.job(ids.back(), 1, 1, 500));
     }
-    ASSERT_TRUE(w.run_until(
-        [&] { return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return w.accepted(id); }); },
+    ASSERT_TRUE(deployment.run_until(
+        [&] {
+            return std::all_of(ids.begin(), ids.end(),
+                               [&](const auto& id) { return deployment.is_accepted(id); });
+        },
         40));
     int asked = 0, answered = 0;
     double slowest = 0;
     for (int step = 0; step < 100; ++step) {
         for (int i = 0; i < 12; ++i) {
-            const std::string id = ids[w.rng() % ids.size()];
+            const std::string id = ids[deployment.random.draw() % ids.size()];
             ++asked;
-            w.node(i % 3).on_request({"GET", "/api/jobs/" + id, ""},
-                                     [&, at = w.now()](const HttpResponse& r) {
-                                         if (r.status != 200) return;
-                                         ++answered;
-                                         slowest = std::max(slowest, w.now() - at);
-                                     });
+            deployment.controller(i % 3).on_request({"GET", "/api/jobs/" + id, ""},
+                                                    [&, at = deployment.now()](const HttpResponse& r) {
+                                                        if (r.status != 200) return;
+                                                        ++answered;
+                                                        slowest = std::max(slowest, deployment.now() - at);
+                                                    });
         }
-        w.run(0.1);
+        deployment.run(0.1);
     }
-    w.run(2);
+    deployment.run(2);
     EXPECT_EQ(answered, asked);
     EXPECT_LT(slowest, 1.8);
 }
 
 // Five controllers, three zones, sixteen teams and 3,600 machines, with as much work at the start and as much
 // coming as such a platform has: arrays of fifty, and gangs of up to sixteen that must be in one zone.
-World::Options large_options() {
-    World::Options o;
-    o.nodes = 5;
+DeploymentOptions large_options() {
+    DeploymentOptions o;
+    o.controllers = 5;
     o.zones = {"a", "b", "c"};
     o.teams.clear();
     for (int t = 0; t < 16; ++t)
         o.teams += "[[params.teams]]\nname = \"t" + std::to_string(t) +
                    "\"\ncpus = 0\ncpus_max = 0\ngpus = 900\ngpus_max = 2000\n";
-    o.value_kb = 8;
-    o.txn_ops = 16;
-    o.list_page = 1000;
-    o.report_s = 10;
+    o.max_value_kb = 8;
+    o.max_operations = 16;
+    o.list_page_size = 1000;
+    o.heartbeat_interval_s = 10;
     o.lease_s = 45;
     o.cancel_s = 70;
-    o.state_rps = 150;
-    o.write_rps = 50;
-    o.cloud_rps = 6;
+    o.store_requests_per_s = 150;
+    o.store_writes_per_s = 50;
+    o.cloud_requests_per_s = 6;
     o.memory_mb = 264;
     o.max_sockets = 6000;
-    o.worker_step = 0.5;
-    o.budgets = true;
+    o.worker_tick_s = 0.5;
+    o.enforce_rate_limits = true;
     o.boot_s = 35;
     return o;
 }
 
 TEST(WorkerManager, LargePlatformInThreeZones) {
     const int machines = 3600 / shrink;
-    World::Options o = large_options();
-    o.capacity = machines * 11 / 10;
-    World w(o);
+    DeploymentOptions o = large_options();
+    o.cloud_capacity = machines * 11 / 10;
+    SimulatedDeployment deployment(o);
     for (int i = 0; i < machines; ++i)
-        w.add_machine("gpu", o.zones[static_cast<std::size_t>(i) % 3], false, 1 + 20 * w.chance());
-    w.run(25);
+        deployment.workers.add("gpu", o.zones[static_cast<std::size_t>(i) % 3], false,
+                               1 + 20 * deployment.chance());
+    deployment.run(25);
     std::vector<std::string> ids;
     auto add = [&](const char* kind) {
-        ids.push_back(id_of(static_cast<int>(ids.size())));
-        const std::string team = "t" + std::to_string(w.rng() % 16);
+        ids.push_back(job_id(static_cast<int>(ids.size())));
+        const std::string team = "t" + std::to_string(deployment.random.draw() % 16);
         const bool array = std::string(kind) == "array";
-        const int size = array ? 20 + static_cast<int>(w.rng() % 60)
-                               : 1 << (w.rng() % (std::string(kind) == "large" ? 5 : 3));
-        Json j = w.job(ids.back(), size, array ? 4 : 8, 40 + 80 * w.chance(), team);
+        const int size = array ? 20 + static_cast<int>(deployment.random.draw() % 60)
+                               : 1 << (deployment.random.draw() % (std::string(kind) == "large" ? 5 : 3));
+        Json j = deployment.job(ids.back(), size, array ? 4 : 8, 40 + 80 * deployment.chance(), team);
         j["gpus"] = array ? 1.0 : 2.0;
         j["ilk"] = kind;
         j["mark_every_s"] = 15.0;
         j["stow_s"] = 2.0;
-        j["cask"] = std::string(kind) + std::to_string(w.rng() % 14);
+        j["cask"] = std::string(kind) + std::to_string(deployment.random.draw() % 14);
         if (!array) {
             j["shape"] = "group";
             j["one_zone"] = true;
         }
         if (std::string(kind) == "urgent") j["rank"] = "high";
-        w.submit(j);
+        deployment.submit(j);
     };
     for (int i = 0; i < 94 / shrink; ++i) add("large");
     for (int i = 0; i < 62 / shrink; ++i) add("array");
     for (int i = 0; i < 406 / shrink; ++i) add("urgent");
     for (int second = 0; second < 60; ++second) {
         for (int i = 0; i < 3; ++i)
-            if (w.chance() * shrink < 1)
+            if (deployment.chance() * shrink < 1)
                 add(i == 0 ? "large" : i == 1 ? "urgent" : second % 4 == 0 ? "urgent" : "array");
         for (const auto& id : ids)
-            if (w.accepted(id) && !w.done(id) && w.chance() < 0.2) w.poll(id);
-        w.run(1);
+            if (deployment.is_accepted(id) && !deployment.is_done(id) && deployment.chance() < 0.2)
+                deployment.poll(id);
+        deployment.run(1);
     }
     int accepted = 0;
-    for (const auto& id : ids) accepted += w.accepted(id) ? 1 : 0;
+    for (const auto& id : ids) accepted += deployment.is_accepted(id) ? 1 : 0;
     EXPECT_EQ(accepted, static_cast<int>(ids.size()));
-    const double end = w.now() + 300;
+    const double end = deployment.now() + 300;
     auto left = [&] {
-        return std::count_if(ids.begin(), ids.end(), [&](const auto& id) { return !w.done(id); });
+        return std::count_if(ids.begin(), ids.end(), [&](const auto& id) { return !deployment.is_done(id); });
     };
-    while (left() > 0 && w.now() < end) {
+    while (left() > 0 && deployment.now() < end) {
         for (const auto& id : ids)
-            if (!w.done(id) && w.accepted(id)) w.poll(id);
-        w.run(5);
+            if (!deployment.is_done(id) && deployment.is_accepted(id)) deployment.poll(id);
+        deployment.run(5);
     }
     EXPECT_EQ(left(), 0);
-    w.checker.finish();
-    w.checker.judge_service();
-    for (const auto& b : w.checker.broken) ADD_FAILURE() << b;
+    deployment.checker.finish();
+    deployment.checker.judge_service();
+    for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
 }
 
 // Machines are taken without notice while a controller crashes.
 TEST(WorkerManager, MachinesLostWithACrash) {
     const int machines = 300 / shrink;
     FleetStory s(fleet_options(3, machines), machines);
-    World& w = s.w;
-    w.run(8);
+    SimulatedDeployment& deployment = s.deployment;
+    deployment.run(8);
     s.submit(machines * 6 / 10, 60);
-    ASSERT_TRUE(w.run_until([&] { return s.running() >= machines * 6 / 10; }, 45));
-    const int starts = w.checker.starts;
-    w.crash(1);
-    for (const auto& id : s.some(machines / 3)) w.kill_machine(id);
-    w.at(3, [&w] { w.start_node(1); });
+    ASSERT_TRUE(deployment.run_until([&] { return s.running() >= machines * 6 / 10; }, 45));
+    const int starts = deployment.checker.starts;
+    deployment.crash_controller(1);
+    for (const auto& id : s.some(machines / 3)) deployment.workers.crash(id);
+    deployment.after(3, [&deployment] { deployment.start_controller(1); });
     EXPECT_TRUE(s.all_done(240));
-    EXPECT_LE(w.checker.starts, starts + machines / 3);
+    EXPECT_LE(deployment.checker.starts, starts + machines / 3);
     s.expect_bounds();
-    s.expect_rules();
+    s.expect_no_violations();
 }
 
 // Machines that report every ten seconds are asked to check in when a start for them was committed.
 TEST(WorkerManager, StartsAreDeliveredWithoutWaitingForAReport) {
-    World::Options o;
-    o.report_s = 10;
+    DeploymentOptions o;
+    o.heartbeat_interval_s = 10;
     o.lease_s = 45;
     o.cancel_s = 70;
-    World w(o);
-    for (int i = 0; i < 6; ++i) w.add_machine("small", "a", false, 0.5);
-    w.submit(w.job(id_of(100), 18, 1, 600));  // keeps the machines, and leaves room on them
-    ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(100)) == 18; }, 60));
+    SimulatedDeployment deployment(o);
+    for (int i = 0; i < 6; ++i) deployment.workers.add("small", "a", false, 0.5);
+    deployment.submit(
+        deployment.job(job_id(100), 18, 1, 600));  // keeps the machines, and leaves room on them
+    ASSERT_TRUE(
+        deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(100)) == 18; }, 60));
     double slowest = 0;
     for (int n = 1; n <= 5; ++n) {
-        w.run(30);  // a worker heeds a higher token once in half of its lease
-        const double asked = w.now();
-        w.submit(w.job(id_of(n), 2, 1, 3));
-        ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(n)) == 2; }, 30));
-        slowest = std::max(slowest, w.now() - asked);
+        deployment.run(30);  // a worker heeds a higher token once in half of its lease
+        const double asked = deployment.now();
+        deployment.submit(deployment.job(job_id(n), 2, 1, 3));
+        ASSERT_TRUE(
+            deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(n)) == 2; }, 30));
+        slowest = std::max(slowest, deployment.now() - asked);
     }
     EXPECT_LT(slowest, 4);
-    expect_rules(w);
+    expect_no_violations(deployment);
 }
 
 }  // namespace
--- a/tests/message_recorder.h
+++ b/tests/message_recorder.h
@@ -10,7 +10,8 @@
 namespace zincdyke::testing {
 
 /// Records messages in the order in which they are sent or given. It only looks: it draws no random number
-/// and schedules nothing, so a deployment behaves alike with it and without it. It must outlive its World.
+/// and schedules nothing, so a deployment behaves alike with it and without it. It must outlive its
+/// deployment.
 ///
 /// A line holds, with tabs between: simulated time, kind, sender, receiver, XXH64 of the full content, and
 /// the beginning of the content. Of a frame that beginning is its size and its kind byte.
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,7 +1,7 @@
 // Standing services: replicas that run until the job is cancelled and are put back wherever one goes.
+#include "deployment_helpers.h"
 #include "jobs/restart_backoff.h"
 #include "sched/logic.h"
-#include "story.h"
 
 namespace zincdyke::testing {
 namespace {
@@ -9,8 +9,9 @@
 using zincdyke::RestartBackoff;
 using zincdyke::SteadyTime;
 
-Json service(World& w, int n, int replicas, double ends_after_s = 1e6, const std::string& team = "red") {
-    Json body = w.job(id_of(n), replicas, 1, ends_after_s, team);
+Json service(SimulatedDeployment& deployment, int n, int replicas, double ends_after_s = 1e6,
+             const std::string& team = "red") {
+    Json body = deployment.job(job_id(n), replicas, 1, ends_after_s, team);
     body["shape"] = "service";
     body["rank"] = "critical";
     body["guess_s"] = 0;
@@ -18,85 +19,86 @@
     return body;
 }
 
-bool all_run(World& w, int n, int replicas, double most) {
-    return w.run_until([&] { return w.on_machines(id_of(n)) == replicas; }, most);
+bool all_run(SimulatedDeployment& deployment, int n, int replicas, double most) {
+    return deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(n)) == replicas; },
+                                most);
 }
 
-std::string machine_of(World& w, int n) {
-    for (const auto& [id, worker] : w.workers())
+std::string machine_of(SimulatedDeployment& deployment, int n) {
+    for (const auto& [id, worker] : deployment.workers.all())
         for (const auto& [key, task] : worker.tasks)
-            if (task.job == id_of(n) && task.phase == "running") return id;
+            if (task.job == job_id(n) && task.phase == "running") return id;
     return "";
 }
 
-void expect_never_done(World& w, int n) {
-    w.poll(id_of(n));
-    w.run(3);
-    EXPECT_NE(w.told(id_of(n)), "done");
-    w.cancel(id_of(n));
-    EXPECT_TRUE(told_all(w, {id_of(n)}, 30));
-    EXPECT_TRUE(w.run_until([&] { return w.on_machines(id_of(n)) == 0; }, 10));
-    expect_rules(w);
+void expect_never_done(SimulatedDeployment& deployment, int n) {
+    deployment.poll(job_id(n));
+    deployment.run(3);
+    EXPECT_NE(deployment.last_phase(job_id(n)), "done");
+    deployment.cancel(job_id(n));
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(n)}, 30));
+    EXPECT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(n)) == 0; }, 10));
+    expect_no_violations(deployment);
 }
 
 // Each way in which a replica can go: it runs again elsewhere within what noticing and starting take.
 TEST(Service, ReplicaIsPutBackAfterItsMachineIsLost) {
-    World w;
-    w.run(3);
-    w.submit(service(w, 1, 3));
-    ASSERT_TRUE(all_run(w, 1, 3, 60));
-    w.kill_machine(machine_of(w, 1));
-    ASSERT_LT(w.on_machines(id_of(1)), 3);
-    EXPECT_TRUE(all_run(w, 1, 3, 35));
-    expect_never_done(w, 1);
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    deployment.submit(service(deployment, 1, 3));
+    ASSERT_TRUE(all_run(deployment, 1, 3, 60));
+    deployment.workers.crash(machine_of(deployment, 1));
+    ASSERT_LT(deployment.workers.executing_tasks(job_id(1)), 3);
+    EXPECT_TRUE(all_run(deployment, 1, 3, 35));
+    expect_never_done(deployment, 1);
 }
 
 TEST(Service, ReplicaMovesBeforeItsMachineIsTaken) {
-    World::Options o;
+    DeploymentOptions o;
     o.boot_s = 2;
-    World w(o);
-    w.run(3);
-    Json body = service(w, 1, 1);
+    SimulatedDeployment deployment(o);
+    deployment.run(3);
+    Json body = service(deployment, 1, 1);
     body["loaners"] = true;
-    w.submit(body);
-    ASSERT_TRUE(all_run(w, 1, 1, 60));
-    const std::string before = machine_of(w, 1);
-    w.notice(before, 15);
-    w.run(20);
+    deployment.submit(body);
+    ASSERT_TRUE(all_run(deployment, 1, 1, 60));
+    const std::string before = machine_of(deployment, 1);
+    deployment.workers.announce_preemption(before, 15);
+    deployment.run(20);
     // Had it stayed until the machine was taken, its lease would still keep it from starting elsewhere.
-    EXPECT_EQ(w.on_machines(id_of(1)), 1);
-    EXPECT_NE(machine_of(w, 1), before);
-    expect_never_done(w, 1);
+    EXPECT_EQ(deployment.workers.executing_tasks(job_id(1)), 1);
+    EXPECT_NE(machine_of(deployment, 1), before);
+    expect_never_done(deployment, 1);
 }
 
 TEST(Service, ReplicaThatEndsWellRunsAgain) {
-    World w;
-    w.run(3);
-    w.submit(service(w, 1, 2, 40));
-    ASSERT_TRUE(all_run(w, 1, 2, 60));
-    w.run(41);
-    EXPECT_TRUE(all_run(w, 1, 2, 10));
-    w.run(45);
-    EXPECT_TRUE(all_run(w, 1, 2, 10));
-    expect_never_done(w, 1);
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    deployment.submit(service(deployment, 1, 2, 40));
+    ASSERT_TRUE(all_run(deployment, 1, 2, 60));
+    deployment.run(41);
+    EXPECT_TRUE(all_run(deployment, 1, 2, 10));
+    deployment.run(45);
+    EXPECT_TRUE(all_run(deployment, 1, 2, 10));
+    expect_never_done(deployment, 1);
 }
 
 // One that fails at once everywhere is tried less and less often, and others use the same machines meanwhile.
 TEST(Service, ReplicaThatFailsIsHeldBackMoreEachTime) {
-    World w;
-    w.run(3);
-    w.bad_jobs.insert(id_of(1));
-    w.submit(service(w, 1, 1, 1));
-    w.submit(service(w, 2, 2));
-    ASSERT_TRUE(all_run(w, 2, 2, 60));
-    w.run(120);
-    const auto commits = w.store.commits;
-    w.run(60);
-    EXPECT_LE(w.store.commits - commits, 12U);
-    w.submit(w.job(id_of(3), 4, 1, 5));
-    EXPECT_TRUE(told_all(w, {id_of(3)}, 60));
-    EXPECT_EQ(w.on_machines(id_of(2)), 2);
-    expect_never_done(w, 2);
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    deployment.workers.tasks.failing_jobs.insert(job_id(1));
+    deployment.submit(service(deployment, 1, 1, 1));
+    deployment.submit(service(deployment, 2, 2));
+    ASSERT_TRUE(all_run(deployment, 2, 2, 60));
+    deployment.run(120);
+    const auto commits = deployment.store.commits;
+    deployment.run(60);
+    EXPECT_LE(deployment.store.commits - commits, 12U);
+    deployment.submit(deployment.job(job_id(3), 4, 1, 5));
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(3)}, 60));
+    EXPECT_EQ(deployment.workers.executing_tasks(job_id(2)), 2);
+    expect_never_done(deployment, 2);
 }
 
 TEST(Service, BackoffGrowsAndForgets) {
@@ -134,54 +136,60 @@
 
 // All replicas run at the same time: together they must fit the limit.
 TEST(Service, MoreThanTheLimitIsRefused) {
-    World w;
-    w.run(3);
-    EXPECT_EQ(w.ask(0, "POST", "/api/jobs", service(w, 1, 13, 1e6, "blue").dump()).status, 422);
-    EXPECT_EQ(w.ask(1, "POST", "/api/jobs", service(w, 2, 12, 1e6, "blue").dump()).status, 201);
-    EXPECT_EQ(w.ask(2, "POST", "/api/jobs", service(w, 2, 12, 1e6, "blue").dump()).status, 200);
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    EXPECT_EQ(
+        deployment.request(0, "POST", "/api/jobs", service(deployment, 1, 13, 1e6, "blue").dump()).status,
+        422);
+    EXPECT_EQ(
+        deployment.request(1, "POST", "/api/jobs", service(deployment, 2, 12, 1e6, "blue").dump()).status,
+        201);
+    EXPECT_EQ(
+        deployment.request(2, "POST", "/api/jobs", service(deployment, 2, 12, 1e6, "blue").dump()).status,
+        200);
 }
 
 class ServiceAmid : public ::testing::TestWithParam<int> {};
 // Running replicas outlive the upgrade of every controller, an outage and lower limits; those cancelled in
 // any of these are gone in time.
 TEST_P(ServiceAmid, UpgradeOutageAndShrink) {
-    World::Options o;
+    DeploymentOptions o;
     o.seed = static_cast<std::uint64_t>(GetParam()) + 20;
-    o.value_kb = 8;
-    o.next_value_kb = 2;
-    o.next_txn_ops = 4;
-    o.next_write_rps = 30;
-    o.production_nodes = {0, 1, 2};
-    World w(o);
-    w.run(3);
-    for (int n = 1; n <= 4; ++n) w.submit(service(w, n, 3));
-    for (int n = 1; n <= 4; ++n) ASSERT_TRUE(all_run(w, n, 3, 60));
+    o.max_value_kb = 8;
+    o.next_max_value_kb = 2;
+    o.next_max_operations = 4;
+    o.next_store_writes_per_s = 30;
+    o.production_controllers = {0, 1, 2};
+    SimulatedDeployment deployment(o);
+    deployment.run(3);
+    for (int n = 1; n <= 4; ++n) deployment.submit(service(deployment, n, 3));
+    for (int n = 1; n <= 4; ++n) ASSERT_TRUE(all_run(deployment, n, 3, 60));
     int fewest = 3;
     const auto run = [&](double s) {
         for (double t = 0; t < s; t += 0.5) {
-            w.run(0.5);
-            fewest = std::min(fewest, w.on_machines(id_of(4)));
+            deployment.run(0.5);
+            fewest = std::min(fewest, deployment.workers.executing_tasks(job_id(4)));
         }
     };
     for (int i = 0; i < 3; ++i) {
-        w.upgrade((i + GetParam()) % 3, 2);
-        if (i == 1) w.cancel(id_of(1));
+        deployment.upgrade_controller((i + GetParam()) % 3, 2);
+        if (i == 1) deployment.cancel(job_id(1));
         run(5);
     }
-    w.store.outage = true;
+    deployment.store.outage = true;
     run(3);
-    w.cancel(id_of(2));
+    deployment.cancel(job_id(2));
     run(5);
-    w.store.outage = false;
+    deployment.store.outage = false;
     run(5);
-    w.store.lower_limits(2048, 4, 30);
-    w.cancel(id_of(3));
+    deployment.store.lower_limits(2048, 4, 30);
+    deployment.cancel(job_id(3));
     run(20);
     EXPECT_EQ(fewest, 3);
-    EXPECT_TRUE(told_all(w, {id_of(1), id_of(2), id_of(3)}, 30));
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1), job_id(2), job_id(3)}, 30));
     run(30);
-    for (int n = 1; n <= 3; ++n) EXPECT_EQ(w.on_machines(id_of(n)), 0);
-    expect_never_done(w, 4);
+    for (int n = 1; n <= 3; ++n) EXPECT_EQ(deployment.workers.executing_tasks(job_id(n)), 0);
+    expect_never_done(deployment, 4);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, ServiceAmid, ::testing::Range(0, 4));
 
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -1,8 +1,8 @@
 // The shared view: what is read in any order comes out the same.
 #include <gtest/gtest.h>
 
+#include "deployment_helpers.h"
 #include "fake_state_observer.h"
-#include "story.h"
 
 namespace zincdyke::testing {
 namespace {
@@ -15,51 +15,53 @@
 // job. When the watch brought both in their order the page was skipped as known, and its tasks were taken for
 // pending.
 TEST(StateCache, PageBeforeItsJob) {
-    World w;
-    w.run(3);
-    w.submit(w.job(id_of(1), 2, 1, 500));
-    ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(1)) == 2; }, 60));
-    const std::string job = "z/j/" + id_of(1), page = "z/t/" + id_of(1) + "/0";
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    deployment.submit(deployment.job(job_id(1), 2, 1, 500));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 2; }, 60));
+    const std::string job = "z/j/" + job_id(1), page = "z/t/" + job_id(1) + "/0";
     auto item = [&](const std::string& key) {
-        return KeyUpdate{key, w.store.data.at(key).first, Revision{w.store.data.at(key).second}};
+        return KeyUpdate{key, deployment.store.data.at(key).value,
+                         Revision{deployment.store.data.at(key).revision}};
     };
     zincdyke::Settings settings;
     settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
     FakeStateObserver observer;
     zincdyke::StateCache m(settings, observer);
     m.apply(item(page));
-    EXPECT_EQ(m.job(JobId(id_of(1))), nullptr);
+    EXPECT_EQ(m.job(JobId(job_id(1))), nullptr);
     m.apply(item(job));
     m.apply(item(page));
-    ASSERT_NE(m.job(JobId(id_of(1))), nullptr);
-    EXPECT_EQ(m.job(JobId(id_of(1)))->placed, 2U);
+    ASSERT_NE(m.job(JobId(job_id(1))), nullptr);
+    EXPECT_EQ(m.job(JobId(job_id(1)))->placed, 2U);
     EXPECT_TRUE(m.orphaned_pages().empty());
 }
 
 // A peer's word that a job is cancelled outlasts older versions of its record, and a list that was read
 // before it.
 TEST(StateCache, WordOfACancellationStays) {
-    World w;
-    w.run(3);
-    w.submit(w.job(id_of(1), 2, 1, 500));
-    ASSERT_TRUE(w.run_until([&] { return w.accepted(id_of(1)); }, 10));
-    const std::string job = "z/j/" + id_of(1);
-    const KeyUpdate item{job, w.store.data.at(job).first, Revision{w.store.data.at(job).second}};
+    SimulatedDeployment deployment;
+    deployment.run(3);
+    deployment.submit(deployment.job(job_id(1), 2, 1, 500));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.is_accepted(job_id(1)); }, 10));
+    const std::string job = "z/j/" + job_id(1);
+    const KeyUpdate item{job, deployment.store.data.at(job).value,
+                         Revision{deployment.store.data.at(job).revision}};
     zincdyke::Settings settings;
     settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
     FakeStateObserver observer;
     zincdyke::StateCache m(settings, observer);
     m.apply(item);
-    EXPECT_FALSE(m.job(JobId(id_of(1)))->cancelled);
-    m.mark_cancelled(JobId(id_of(1)));
-    EXPECT_TRUE(m.job(JobId(id_of(1)))->cancelled);
+    EXPECT_FALSE(m.job(JobId(job_id(1)))->cancelled);
+    m.mark_cancelled(JobId(job_id(1)));
+    EXPECT_TRUE(m.job(JobId(job_id(1)))->cancelled);
     m.apply({job, item.value,
              Revision{item.version.value() + 1}});  // handed over, by whoever had not read the cancellation
-    EXPECT_TRUE(m.job(JobId(id_of(1)))->cancelled);
+    EXPECT_TRUE(m.job(JobId(job_id(1)))->cancelled);
     EXPECT_EQ(observer.cancelled_jobs, 1);
     m.clear();
     m.apply(item);
-    EXPECT_TRUE(m.job(JobId(id_of(1)))->cancelled);
+    EXPECT_TRUE(m.job(JobId(job_id(1)))->cancelled);
 }
 
 }  // namespace
--- a/tests/upgrade_faults_test.cpp
+++ b/tests/upgrade_faults_test.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 
 #include "cluster/format_level.h"
-#include "story.h"
+#include "deployment_helpers.h"
 
 namespace zincdyke::testing {
 namespace {
@@ -19,28 +19,28 @@
 
 class UpgradeFaults : public ::testing::TestWithParam<std::uint64_t> {
   protected:
-    static World::Options options() {
-        World::Options o;
+    static DeploymentOptions options() {
+        DeploymentOptions o;
         o.seed = GetParam();
         o.zones = {"a", "b"};
-        o.value_kb = 8;
-        o.next_value_kb = 2;
-        o.next_txn_ops = GetParam() % 4 == 0 ? 2 : 4;
-        o.next_write_rps = 30;
-        o.capacity = 60;
-        o.production_nodes = {0, 1, 2};
+        o.max_value_kb = 8;
+        o.next_max_value_kb = 2;
+        o.next_max_operations = GetParam() % 4 == 0 ? 2 : 4;
+        o.next_store_writes_per_s = 30;
+        o.cloud_capacity = 60;
+        o.production_controllers = {0, 1, 2};
         return o;
     }
-    World w{options()};
+    SimulatedDeployment deployment{options()};
     std::vector<std::string> finite;  // jobs that end by themselves
     std::vector<std::string> services;
     int next_job = 1;
 
-    int pick(int n) { return static_cast<int>(w.rng() % static_cast<std::uint64_t>(n)); }
+    int pick(int n) { return static_cast<int>(deployment.random.draw() % static_cast<std::uint64_t>(n)); }
 
     void submit_any() {
-        const std::string id = id_of(next_job++);
-        Json body = w.job(id, 1 + pick(8), 1, 3 + pick(20), pick(3) == 0 ? "blue" : "red");
+        const std::string id = job_id(next_job++);
+        Json body = deployment.job(id, 1 + pick(8), 1, 3 + pick(20), pick(3) == 0 ? "blue" : "red");
         switch (pick(6)) {
             case 0:
                 body["shards"] = 120 + pick(120);
@@ -69,27 +69,28 @@
             default:
                 break;
         }
-        w.submit(body);
+        deployment.submit(body);
         if (body["shape"] != "service") finite.push_back(id);
     }
 
     std::string any_machine() {
         std::vector<std::string> alive;
-        for (const auto& [id, machine] : w.workers())
+        for (const auto& [id, machine] : deployment.workers.all())
             if (machine.alive) alive.push_back(id);
-        return alive.empty() ? "" : alive[w.rng() % alive.size()];
+        return alive.empty() ? "" : alive[deployment.random.draw() % alive.size()];
     }
 
     void cancel_any() {
         auto& ids = pick(2) == 0 && !services.empty() ? services : finite;
         if (ids.empty()) return;
-        const std::string id = ids[w.rng() % ids.size()];
-        if (w.accepted(id)) w.cancel(id);
+        const std::string id = ids[deployment.random.draw() % ids.size()];
+        if (deployment.is_accepted(id)) deployment.cancel(id);
     }
 
     void cut(const std::string& a, const std::string& b) {
-        w.link(a, b, pick(2) == 0 ? Link::hold : Link::drop);
-        w.at(2 + 12 * w.chance(), [this, a, b] { w.link(a, b, Link::up); });
+        deployment.set_link(a, b, pick(2) == 0 ? LinkState::hold : LinkState::drop);
+        deployment.after(2 + 12 * deployment.chance(),
+                         [this, a, b] { deployment.set_link(a, b, LinkState::up); });
     }
 
     void any_fault() {
@@ -98,34 +99,39 @@
         switch (pick(12)) {
             case 0:
             case 1:
-                w.crash(n);
-                w.at(0.1 + 5 * w.chance(), [this, n] { w.start_node(n); });
+                deployment.crash_controller(n);
+                deployment.after(0.1 + 5 * deployment.chance(),
+                                 [this, n] { deployment.start_controller(n); });
                 break;
             case 2:
-                cut(w.name(n), pick(2) == 0 ? "state" : w.name((n + 1) % 3));
+                cut(deployment.controller_name(n),
+                    pick(2) == 0 ? "state" : deployment.controller_name((n + 1) % 3));
                 break;
             case 3:
-                w.store.outage = true;
-                w.at(1 + 8 * w.chance(), [this] { w.store.outage = false; });
+                deployment.store.outage = true;
+                deployment.after(1 + 8 * deployment.chance(), [this] { deployment.store.outage = false; });
                 break;
             case 4:
-                w.store.refused.insert(w.name(n));
-                w.at(2 + 12 * w.chance(), [this, n] { w.store.refused.erase(w.name(n)); });
+                deployment.store.rejected_clients.insert(deployment.controller_name(n));
+                deployment.after(2 + 12 * deployment.chance(), [this, n] {
+                    deployment.store.rejected_clients.erase(deployment.controller_name(n));
+                });
                 break;
             case 5:
-                if (!machine.empty()) w.hang(machine, 2 + 15 * w.chance());
+                if (!machine.empty()) deployment.workers.hang(machine, 2 + 15 * deployment.chance());
                 break;
             case 6:
-                if (!machine.empty()) w.kill_machine(machine);
+                if (!machine.empty()) deployment.workers.crash(machine);
                 break;
             case 7:
-                if (!machine.empty()) cut(machine, w.name(n));
+                if (!machine.empty()) cut(machine, deployment.controller_name(n));
                 break;
             case 8:
-                w.freeze(n, 1 + 8 * w.chance());
+                deployment.freeze_controller(n, 1 + 8 * deployment.chance());
                 break;
             case 9:
-                if (!machine.empty()) w.notice(machine, 5 + 10 * w.chance());
+                if (!machine.empty())
+                    deployment.workers.announce_preemption(machine, 5 + 10 * deployment.chance());
                 break;
             default:
                 cancel_any();
@@ -136,52 +142,57 @@
     // Upgraded at random moments; a node that is down by a fault is replaced as well.
     void plan_upgrades() {
         for (int i = 0; i < 3; ++i)
-            w.at(5 + 40 * w.chance(), [this, i] { w.upgrade(i, 0.2 + 3 * w.chance()); });
+            deployment.after(5 + 40 * deployment.chance(),
+                             [this, i] { deployment.upgrade_controller(i, 0.2 + 3 * deployment.chance()); });
     }
 
     bool all_at_new_level() {
         for (int i = 0; i < 3; ++i)
-            if (!w.up(i) || w.node(i).state_cache().format_level() < zincdyke::FormatLevel::small_pages)
+            if (!deployment.is_running(i) ||
+                deployment.controller(i).state_cache().format_level() < zincdyke::FormatLevel::small_pages)
                 return false;
         return true;
     }
 
     void end_troubles() {
-        w.late_writes = w.lost_answers = w.copies = w.repeats = w.late_commands = 0;
-        w.store.outage = false;
-        w.store.refused.clear();
+        deployment.faults.late_commits = deployment.faults.lost_commit_responses =
+            deployment.faults.duplicate_heartbeats = deployment.faults.duplicate_requests =
+                deployment.faults.late_commands = 0;
+        deployment.store.outage = false;
+        deployment.store.rejected_clients.clear();
         for (int i = 0; i < 3; ++i) {
-            w.start_node(i);
-            for (const std::string& other : {std::string("state"), w.name((i + 1) % 3)})
-                w.link(w.name(i), other, Link::up);
+            deployment.start_controller(i);
+            for (const std::string& other : {std::string("state"), deployment.controller_name((i + 1) % 3)})
+                deployment.set_link(deployment.controller_name(i), other, LinkState::up);
         }
     }
 };
 
 TEST_P(UpgradeFaults, RulesHold) {
-    w.run(3);
+    deployment.run(3);
     plan_upgrades();
-    w.late_writes = w.lost_answers = 0.03;
-    w.copies = w.repeats = w.late_commands = 0.05;
+    deployment.faults.late_commits = deployment.faults.lost_commit_responses = 0.03;
+    deployment.faults.duplicate_heartbeats = deployment.faults.duplicate_requests =
+        deployment.faults.late_commands = 0.05;
     bool lowered = false;
     for (int step = 0; step < steps; ++step) {
         if (step % 4 == 0) submit_any();
         if (step % 3 == 0) any_fault();
         if (!lowered && all_at_new_level() && pick(4) == 0) {
-            w.store.lower_limits(2048, GetParam() % 4 == 0 ? 2 : 4, 30);
+            deployment.store.lower_limits(2048, GetParam() % 4 == 0 ? 2 : 4, 30);
             lowered = true;
         }
-        w.run(step_s);
+        deployment.run(step_s);
     }
     end_troubles();
-    w.run(30);  // what was held or begun by a fault is over
+    deployment.run(30);  // what was held or begun by a fault is over
     for (const auto& id : services)
-        if (w.accepted(id)) w.cancel(id);
+        if (deployment.is_accepted(id)) deployment.cancel(id);
     std::vector<std::string> all = finite;
     all.insert(all.end(), services.begin(), services.end());
-    expect_recovery(w, all, settle_s);
+    expect_recovery(deployment, all, settle_s);
     EXPECT_TRUE(all_at_new_level());
-    EXPECT_LE(w.store.refused_large, 20U);
+    EXPECT_LE(deployment.store.rejected_oversize, 20U);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, UpgradeFaults, ::testing::Range<std::uint64_t>(900, 900 + seeds()));
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -6,9 +6,9 @@
 #include "base/settings.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/format_level.h"
+#include "deployment_helpers.h"
 #include "fake_state_observer.h"
 #include "store/records.h"
-#include "story.h"
 #include "wire/peer_messages.h"
 
 namespace zincdyke::testing {
@@ -42,32 +42,34 @@
 }
 
 // A deployment whose state service will have a quarter of the value size and half of the operations.
-World::Options shrinking(std::uint64_t seed = 1) {
-    World::Options o;
+DeploymentOptions shrinking(std::uint64_t seed = 1) {
+    DeploymentOptions o;
     o.seed = seed;
-    o.value_kb = 8;
-    o.next_value_kb = 2;
-    o.next_txn_ops = 4;
-    o.next_write_rps = 30;
-    o.capacity = 60;
+    o.max_value_kb = 8;
+    o.next_max_value_kb = 2;
+    o.next_max_operations = 4;
+    o.next_store_writes_per_s = 30;
+    o.cloud_capacity = 60;
     return o;
 }
 
-std::uint32_t level_of(World& w, int node) { return w.node(node).state_cache().format_level(); }
+std::uint32_t level_of(SimulatedDeployment& deployment, int node) {
+    return deployment.controller(node).state_cache().format_level();
+}
 
-bool reaches_level(World& w, std::uint32_t level, double most) {
-    return w.run_until(
+bool reaches_level(SimulatedDeployment& deployment, std::uint32_t level, double most) {
+    return deployment.run_until(
         [&] {
-            for (int i = 0; i < w.nodes(); ++i)
-                if (!w.up(i) || level_of(w, i) < level) return false;
+            for (int i = 0; i < deployment.controller_count(); ++i)
+                if (!deployment.is_running(i) || level_of(deployment, i) < level) return false;
             return true;
         },
         most);
 }
 
-std::size_t keys_with(World& w, const std::string& prefix) {
+std::size_t keys_with(SimulatedDeployment& deployment, const std::string& prefix) {
     return static_cast<std::size_t>(
-        std::count_if(w.store.data.begin(), w.store.data.end(),
+        std::count_if(deployment.store.data.begin(), deployment.store.data.end(),
                       [&](const auto& entry) { return entry.first.rfind(prefix, 0) == 0; }));
 }
 
@@ -149,10 +151,10 @@
     std::uint64_t revision = 0;
 
     explicit JobInModel(const zincdyke::Settings& settings, std::uint32_t tasks) : model(settings, observer) {
-        World w;
+        SimulatedDeployment deployment;
         zincdyke::Job j;
         std::string why;
-        j.spec = *zincdyke::wire::parse_job(w.job(id.value(), static_cast<int>(tasks)).dump(), why);
+        j.spec = *zincdyke::wire::parse_job(deployment.job(id.value(), static_cast<int>(tasks)).dump(), why);
         put(zincdyke::keys::job(id), model.encode_job(j));
     }
     void put(const std::string& key, std::optional<Json> value) {
@@ -228,81 +230,81 @@
 TEST_P(InTurn, LevelRisesOnlyAfterTheLast) {
     std::vector<int> order{0, 1, 2};
     for (int i = 0; i < GetParam(); ++i) std::next_permutation(order.begin(), order.end());
-    World::Options o = shrinking(static_cast<std::uint64_t>(GetParam()) + 1);
-    o.production_nodes = {0, 1, 2};
-    World w(o);
-    w.run(3);
-    std::vector<std::string> ids{id_of(1), id_of(2), id_of(3)};
-    w.submit(w.job(ids[0], 250, 0.5, 20));
-    w.submit(w.job(ids[1], 60, 0.5, 40));
-    Json gang = w.job(ids[2], 4, 1, 30);
+    DeploymentOptions o = shrinking(static_cast<std::uint64_t>(GetParam()) + 1);
+    o.production_controllers = {0, 1, 2};
+    SimulatedDeployment deployment(o);
+    deployment.run(3);
+    std::vector<std::string> ids{job_id(1), job_id(2), job_id(3)};
+    deployment.submit(deployment.job(ids[0], 250, 0.5, 20));
+    deployment.submit(deployment.job(ids[1], 60, 0.5, 40));
+    Json gang = deployment.job(ids[2], 4, 1, 30);
     gang["shape"] = "group";
-    w.submit(gang);
-    w.run(8);
+    deployment.submit(gang);
+    deployment.run(8);
     for (const int i : order) {
-        EXPECT_FALSE(w.store.data.contains("z/l"));
-        EXPECT_EQ(keys_with(w, "z/r/"), 0U);
-        w.upgrade(i);
-        w.run(4);
+        EXPECT_FALSE(deployment.store.data.contains("z/l"));
+        EXPECT_EQ(keys_with(deployment, "z/r/"), 0U);
+        deployment.upgrade_controller(i);
+        deployment.run(4);
         const int other = order[static_cast<std::size_t>((i + 1) % 3)];
-        w.crash(other);
-        w.run(1);
-        w.start_node(other);
-        w.run(4);
+        deployment.crash_controller(other);
+        deployment.run(1);
+        deployment.start_controller(other);
+        deployment.run(4);
     }
-    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
-    w.store.lower_limits(2048, 4, 30);
-    ids.push_back(id_of(4));
-    w.submit(w.job(ids[3], 300, 0.5, 10));
-    EXPECT_TRUE(told_all(w, ids, 300));
-    EXPECT_EQ(w.store.refused_large, 0U);
-    expect_rules(w);
+    ASSERT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 10));
+    deployment.store.lower_limits(2048, 4, 30);
+    ids.push_back(job_id(4));
+    deployment.submit(deployment.job(ids[3], 300, 0.5, 10));
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
+    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    expect_no_violations(deployment);
 }
 INSTANTIATE_TEST_SUITE_P(Orders, InTurn, ::testing::Range(0, 6));
 
 TEST(Upgrade, LevelWaitsForTheNodeThatIsAway) {
-    World::Options o = shrinking();
-    o.production_nodes = {2};
-    World w(o);
-    w.run(10);
-    w.crash(2);
-    w.run(30);
-    EXPECT_EQ(level_of(w, 0), 0U);
-    const Json status = Json::parse(w.ask(0, "GET", "/internal/status").body);
+    DeploymentOptions o = shrinking();
+    o.production_controllers = {2};
+    SimulatedDeployment deployment(o);
+    deployment.run(10);
+    deployment.crash_controller(2);
+    deployment.run(30);
+    EXPECT_EQ(level_of(deployment, 0), 0U);
+    const Json status = Json::parse(deployment.request(0, "GET", "/internal/status").body);
     EXPECT_EQ(status["format"]["waiting_for"], Json::array({"n2"}));
-    w.upgrade(2);
-    EXPECT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 20));
+    deployment.upgrade_controller(2);
+    EXPECT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 20));
 }
 
 class LevelAmidTroubles : public ::testing::TestWithParam<int> {};
 // Commits without an answer, late or sent twice, a state service that is away, a crash at each moment: the
 // level rises once all are upgraded, and does not fall.
 TEST_P(LevelAmidTroubles, RisesOnce) {
-    World::Options o = shrinking(static_cast<std::uint64_t>(GetParam()) + 40);
-    o.production_nodes = {0, 1, 2};
-    World w(o);
-    w.late_writes = 0.2;
-    w.lost_answers = 0.2;
-    w.repeats = 0.3;
-    w.run(5);
+    DeploymentOptions o = shrinking(static_cast<std::uint64_t>(GetParam()) + 40);
+    o.production_controllers = {0, 1, 2};
+    SimulatedDeployment deployment(o);
+    deployment.faults.late_commits = 0.2;
+    deployment.faults.lost_commit_responses = 0.2;
+    deployment.faults.duplicate_requests = 0.3;
+    deployment.run(5);
     for (int i = 0; i < 3; ++i) {
-        w.upgrade(i);
-        w.run(1 + 0.4 * GetParam());
-        if (i == GetParam() % 3) w.store.outage = true;
-        w.run(3);
-        w.store.outage = false;
-        w.crash(i);
-        w.run(0.2 * GetParam());
-        w.start_node(i);
+        deployment.upgrade_controller(i);
+        deployment.run(1 + 0.4 * GetParam());
+        if (i == GetParam() % 3) deployment.store.outage = true;
+        deployment.run(3);
+        deployment.store.outage = false;
+        deployment.crash_controller(i);
+        deployment.run(0.2 * GetParam());
+        deployment.start_controller(i);
     }
-    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 40));
-    const auto version = w.store.data.at("z/l").second;
-    w.crash(0);
-    w.run(3);
-    w.start_node(0);
-    w.run(60);
-    EXPECT_EQ(w.store.data.at("z/l").second, version);
-    EXPECT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 1));
+    ASSERT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 40));
+    const auto version = deployment.store.data.at("z/l").revision;
+    deployment.crash_controller(0);
+    deployment.run(3);
+    deployment.start_controller(0);
+    deployment.run(60);
+    EXPECT_EQ(deployment.store.data.at("z/l").revision, version);
+    EXPECT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 1));
 }
 INSTANTIATE_TEST_SUITE_P(Moments, LevelAmidTroubles, ::testing::Range(0, 6));
 
@@ -310,202 +312,204 @@
 // The limits drop in the middle of starts, of ends, of a cancellation and of a takeover, with a job whose
 // pages are too large by then.
 TEST_P(Shrink, WorkGoesOn) {
-    World::Options o = shrinking(static_cast<std::uint64_t>(GetParam()) + 70);
-    o.budgets = true;
-    World w(o);
-    w.run(4);
-    std::vector<std::string> ids{id_of(1), id_of(2), id_of(3)};
-    w.submit(w.job(ids[0], 400, 0.25, 12));
-    w.submit(w.job(ids[1], 150, 0.25, 300));
-    w.submit(w.job(ids[2], 20, 0.5, 20));
-    w.run(6 + 1.5 * GetParam());
-    w.store.lower_limits(2048, 4, 30);
-    w.cancel(ids[1]);
-    w.crash(GetParam() % 3);
-    w.run(2);
-    w.start_node(GetParam() % 3);
-    EXPECT_TRUE(told_all(w, ids, 300));
+    DeploymentOptions o = shrinking(static_cast<std::uint64_t>(GetParam()) + 70);
+    o.enforce_rate_limits = true;
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    std::vector<std::string> ids{job_id(1), job_id(2), job_id(3)};
+    deployment.submit(deployment.job(ids[0], 400, 0.25, 12));
+    deployment.submit(deployment.job(ids[1], 150, 0.25, 300));
+    deployment.submit(deployment.job(ids[2], 20, 0.5, 20));
+    deployment.run(6 + 1.5 * GetParam());
+    deployment.store.lower_limits(2048, 4, 30);
+    deployment.cancel(ids[1]);
+    deployment.crash_controller(GetParam() % 3);
+    deployment.run(2);
+    deployment.start_controller(GetParam() % 3);
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
     // Whatever was drafted before the level was known may be refused, never again and again.
-    EXPECT_LE(w.store.refused_large, 10U);
-    expect_rules(w);
-    EXPECT_TRUE(w.run_until([&] { return keys_with(w, "z/r/") + keys_with(w, "z/t/") == 0; }, 60));
+    EXPECT_LE(deployment.store.rejected_oversize, 10U);
+    expect_no_violations(deployment);
+    EXPECT_TRUE(deployment.run_until(
+        [&] { return keys_with(deployment, "z/r/") + keys_with(deployment, "z/t/") == 0; }, 60));
 }
 INSTANTIATE_TEST_SUITE_P(Moments, Shrink, ::testing::Range(0, 8));
 
 // A job of thousands of tasks, half through when the limits drop.
 TEST(Upgrade, LargeJobAcrossTheChange) {
-    World::Options o = shrinking(5);
-    o.production_nodes = {0, 1, 2};
-    World w(o);
-    w.run(3);
-    w.submit(w.job(id_of(1), 2000, 0.1, 8));
-    w.run(25);
+    DeploymentOptions o = shrinking(5);
+    o.production_controllers = {0, 1, 2};
+    SimulatedDeployment deployment(o);
+    deployment.run(3);
+    deployment.submit(deployment.job(job_id(1), 2000, 0.1, 8));
+    deployment.run(25);
     for (int i = 0; i < 3; ++i) {
-        w.upgrade(i);
-        w.run(3);
+        deployment.upgrade_controller(i);
+        deployment.run(3);
     }
-    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
-    w.store.lower_limits(2048, 4, 30);
-    EXPECT_TRUE(told_all(w, {id_of(1)}, 400));
-    EXPECT_LE(w.store.refused_large, 10U);
-    expect_rules(w);
+    ASSERT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 10));
+    deployment.store.lower_limits(2048, 4, 30);
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 400));
+    EXPECT_LE(deployment.store.rejected_oversize, 10U);
+    expect_no_violations(deployment);
 }
 
 // Two operations in a transaction are the fewest that the settings may announce.
 TEST(Upgrade, TwoOperationsAreEnough) {
-    World::Options o = shrinking(6);
-    o.next_txn_ops = 2;
+    DeploymentOptions o = shrinking(6);
+    o.next_max_operations = 2;
     o.zones = {"a", "b"};
-    World w(o);
-    w.run(4);
-    w.store.lower_limits(2048, 2, 30);
-    std::vector<std::string> ids{id_of(1), id_of(2), id_of(3), id_of(4)};
-    w.submit(w.job(ids[0], 200, 0.25, 10, "blue"));
-    Json gang = w.job(ids[1], 3, 1, 10);
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    deployment.store.lower_limits(2048, 2, 30);
+    std::vector<std::string> ids{job_id(1), job_id(2), job_id(3), job_id(4)};
+    deployment.submit(deployment.job(ids[0], 200, 0.25, 10, "blue"));
+    Json gang = deployment.job(ids[1], 3, 1, 10);
     gang["shape"] = "group";
     gang["one_zone"] = true;
-    w.submit(gang);
-    w.submit(w.job(ids[2], 1, 1, 5));
-    w.submit(w.job(ids[3], 5, 1, 400));
-    w.run(15);
-    w.crash(0);
-    w.cancel(ids[3]);
-    w.run(2);
-    w.start_node(0);
-    EXPECT_TRUE(told_all(w, ids, 300));
-    EXPECT_EQ(w.store.refused_large, 0U);
-    expect_rules(w);
+    deployment.submit(gang);
+    deployment.submit(deployment.job(ids[2], 1, 1, 5));
+    deployment.submit(deployment.job(ids[3], 5, 1, 400));
+    deployment.run(15);
+    deployment.crash_controller(0);
+    deployment.cancel(ids[3]);
+    deployment.run(2);
+    deployment.start_controller(0);
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
+    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    expect_no_violations(deployment);
 }
 
 // An old node accepted it under the larger limit; it is cancelled and closed under the smaller.
 TEST(Upgrade, LargeJobRecordIsCancelled) {
-    World::Options o = shrinking(7);
-    World w(o);
-    w.run(4);
-    Json body = w.job(id_of(1), 3, 1, 500);
-    w.submit(body);
-    ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(1)) == 3; }, 60));
-    const std::string key = "z/j/" + id_of(1);
-    Json record = w.store.data.at(key).first;
+    DeploymentOptions o = shrinking(7);
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    Json body = deployment.job(job_id(1), 3, 1, 500);
+    deployment.submit(body);
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 3; }, 60));
+    const std::string key = "z/j/" + job_id(1);
+    Json record = deployment.store.data.at(key).value;
     record["spec"]["breeds"] = many_types();
-    w.store.data[key] = {record, w.store.data.at(key).second};
+    deployment.store.data[key] = {record, deployment.store.data.at(key).revision};
     for (int i = 0; i < 3; ++i) {
-        w.crash(i);
-        w.start_node(i);
+        deployment.crash_controller(i);
+        deployment.start_controller(i);
     }
-    w.store.lower_limits(2048, 4, 30);
-    w.run(5);
-    w.cancel(id_of(1));
-    EXPECT_TRUE(told_all(w, {id_of(1)}, 30));
-    EXPECT_TRUE(w.run_until([&] { return !w.store.data.contains(key); }, 30));
-    EXPECT_EQ(w.store.refused_large, 0U);
-    expect_rules(w);
+    deployment.store.lower_limits(2048, 4, 30);
+    deployment.run(5);
+    deployment.cancel(job_id(1));
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 30));
+    EXPECT_TRUE(deployment.run_until([&] { return !deployment.store.data.contains(key); }, 30));
+    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    expect_no_violations(deployment);
 }
 
 // A list of types too long for a record is stored as far as it says anything.
 TEST(Upgrade, SubmissionWithManyTypesIsStoredShort) {
-    World w(shrinking(8));
-    w.run(4);
-    w.store.lower_limits(2048, 4, 30);
-    Json body = w.job(id_of(1), 1, 1, 3);
+    SimulatedDeployment deployment(shrinking(8));
+    deployment.run(4);
+    deployment.store.lower_limits(2048, 4, 30);
+    Json body = deployment.job(job_id(1), 1, 1, 3);
     body["breeds"] = many_types();
     ASSERT_GT(body.dump().size(), 2048U);
-    w.submit(body);
-    EXPECT_TRUE(told_all(w, {id_of(1)}, 60));
-    EXPECT_EQ(w.store.refused_large, 0U);
-    expect_rules(w);
+    deployment.submit(body);
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 60));
+    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    expect_no_violations(deployment);
 }
 
 // Should the limits drop while a node has not been upgraded, what is too large for them waits for that node:
 // nothing is written that it could not read, and nothing is asked again and again.
 TEST(Upgrade, LimitsThatDropTooEarly) {
-    World::Options o = shrinking(10);
-    o.production_nodes = {2};
-    World w(o);
-    w.run(4);
-    w.store.lower_limits(2048, 4, 30);
-    w.submit(w.job(id_of(1), 180, 0.25, 15));
-    w.run(30);
-    EXPECT_EQ(level_of(w, 0), 0U);
-    EXPECT_EQ(keys_with(w, "z/r/"), 0U);
-    EXPECT_FALSE(w.store.data.at("z/j/" + id_of(1)).first.contains("pages"));
-    EXPECT_GT(w.store.refused_large, 0U);
-    EXPECT_LE(w.store.refused_large, 20U);
-    w.upgrade(2);
-    EXPECT_TRUE(told_all(w, {id_of(1)}, 200));
-    expect_rules(w);
+    DeploymentOptions o = shrinking(10);
+    o.production_controllers = {2};
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    deployment.store.lower_limits(2048, 4, 30);
+    deployment.submit(deployment.job(job_id(1), 180, 0.25, 15));
+    deployment.run(30);
+    EXPECT_EQ(level_of(deployment, 0), 0U);
+    EXPECT_EQ(keys_with(deployment, "z/r/"), 0U);
+    EXPECT_FALSE(deployment.store.data.at("z/j/" + job_id(1)).value.contains("pages"));
+    EXPECT_GT(deployment.store.rejected_oversize, 0U);
+    EXPECT_LE(deployment.store.rejected_oversize, 20U);
+    deployment.upgrade_controller(2);
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 200));
+    expect_no_violations(deployment);
 }
 
 // What the service refuses as malformed, for a reason that the settings don't tell, is not sent again at
 // once.
 TEST(Upgrade, RefusedForGoodIsNotRepeatedAtOnce) {
-    World w;
-    w.run(4);
-    w.submit(w.job(id_of(1), 8, 1, 20));
-    ASSERT_TRUE(w.run_until([&] { return w.on_machines(id_of(1)) == 8; }, 60));
-    w.store.lower_limits(4, 8, 0);
-    w.run(30);
-    EXPECT_GT(w.store.refused_large, 0U);
-    EXPECT_LE(w.store.refused_large, 20U);
-    expect_rules(w);
+    SimulatedDeployment deployment;
+    deployment.run(4);
+    deployment.submit(deployment.job(job_id(1), 8, 1, 20));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 8; }, 60));
+    deployment.store.lower_limits(4, 8, 0);
+    deployment.run(30);
+    EXPECT_GT(deployment.store.rejected_oversize, 0U);
+    EXPECT_LE(deployment.store.rejected_oversize, 20U);
+    expect_no_violations(deployment);
 }
 
 // Many jobs of one team start and end at once: none of the commits that they share has too many operations.
 TEST(Upgrade, SharedCommitsKeepToTheFewerOperations) {
-    World w(shrinking(11));
-    w.run(4);
-    w.store.lower_limits(2048, 4, 30);
-    w.store_delay = 1;  // what comes while a commit is under way goes with the next
-    std::vector<std::string> ids = submit_some(w, 1, 12, 1, 20);
+    SimulatedDeployment deployment(shrinking(11));
+    deployment.run(4);
+    deployment.store.lower_limits(2048, 4, 30);
+    deployment.faults.store_response_delay_s =
+        1;  // what comes while a commit is under way goes with the next
+    std::vector<std::string> ids = submit_jobs(deployment, 1, 12, 1, 20);
     for (int i = 0; i < 24; ++i) {
-        ids.push_back(id_of(100 + i));
-        w.submit(w.job(ids.back(), 1, 0.5, 4, "blue"));
+        ids.push_back(job_id(100 + i));
+        deployment.submit(deployment.job(ids.back(), 1, 0.5, 4, "blue"));
     }
-    EXPECT_TRUE(told_all(w, ids, 200));
-    EXPECT_EQ(w.store.refused_large, 0U);
-    expect_rules(w);
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, 200));
+    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    expect_no_violations(deployment);
 }
 
 class SpreadAcross : public ::testing::TestWithParam<int> {};
 // At most half of a job's tasks may be in one zone: also where its pages become smaller while the tasks of
 // one zone fill some of them.
 TEST_P(SpreadAcross, SmallerPages) {
-    World::Options o = shrinking(static_cast<std::uint64_t>(GetParam()) + 30);
+    DeploymentOptions o = shrinking(static_cast<std::uint64_t>(GetParam()) + 30);
     o.zones = {"a", "b"};
-    o.capacity = 100;
-    o.production_nodes = {0};
-    World w(o);
-    w.run(4);
-    Json spread = w.job(id_of(1), 180, 0.25, 12);
+    o.cloud_capacity = 100;
+    o.production_controllers = {0};
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    Json spread = deployment.job(job_id(1), 180, 0.25, 12);
     spread["apart"] = true;
-    w.submit(spread);
-    w.run(14 + GetParam());
-    w.upgrade(0);
-    ASSERT_TRUE(reaches_level(w, zincdyke::FormatLevel::small_pages, 10));
-    w.store.lower_limits(2048, 4, 30);
-    EXPECT_TRUE(told_all(w, {id_of(1)}, 300));
-    expect_rules(w);
+    deployment.submit(spread);
+    deployment.run(14 + GetParam());
+    deployment.upgrade_controller(0);
+    ASSERT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 10));
+    deployment.store.lower_limits(2048, 4, 30);
+    EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 300));
+    expect_no_violations(deployment);
 }
 INSTANTIATE_TEST_SUITE_P(Moments, SpreadAcross, ::testing::Range(0, 4));
 
 // The changes a second drop by half under a backlog: refused ones are few, and the work goes on.
 TEST(Upgrade, WriteRateHalvedUnderLoad) {
-    World::Options o = shrinking(9);
-    o.budgets = true;
-    o.write_rps = 40;
-    o.next_write_rps = 20;
-    o.capacity = 100;
-    World w(o);
-    w.run(4);
-    auto ids = submit_some(w, 1, 30, 3, 5);
-    w.run(10);
-    w.store.over_rate = 0;
-    w.store.lower_limits(2048, 4, 20);
-    auto more = submit_some(w, 100, 150, 2, 5);
+    DeploymentOptions o = shrinking(9);
+    o.enforce_rate_limits = true;
+    o.store_writes_per_s = 40;
+    o.next_store_writes_per_s = 20;
+    o.cloud_capacity = 100;
+    SimulatedDeployment deployment(o);
+    deployment.run(4);
+    auto ids = submit_jobs(deployment, 1, 30, 3, 5);
+    deployment.run(10);
+    deployment.store.rate_limited = 0;
+    deployment.store.lower_limits(2048, 4, 20);
+    auto more = submit_jobs(deployment, 100, 150, 2, 5);
     ids.insert(ids.end(), more.begin(), more.end());
-    EXPECT_TRUE(told_all(w, ids, 300));
-    EXPECT_LE(w.store.over_rate, 10U);
-    expect_rules(w);
+    EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
+    EXPECT_LE(deployment.store.rate_limited, 10U);
+    expect_no_violations(deployment);
 }
 
 }  // namespace
