--- a/src/store/membership.h
+++ b/src/store/membership_index.h
@@ -15,10 +15,10 @@
 };
 
 /// Live controllers, leaders of the shards, and the leader of the autoscaler.
-class Membership {
+class MembershipIndex {
   public:
     /// `shard_count`: at least 1; the same on every controller, and for good.
-    explicit Membership(std::uint32_t shard_count) : shards_(shard_count) {}
+    explicit MembershipIndex(std::uint32_t shard_count) : shards_(shard_count) {}
 
     /// A controller's session was opened or written again at `version`.
     void set_live(const NodeName& node, Revision version) { live_nodes_[node] = version; }
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -15,7 +15,7 @@
 #include "store/job.h"
 #include "store/keys.h"
 #include "store/machine_images.h"
-#include "store/membership.h"
+#include "store/membership_index.h"
 #include "store/orphaned_pages.h"
 #include "store/page_layout.h"
 #include "store/record_versions.h"
@@ -31,8 +31,8 @@
 ///
 /// It may trail behind the store: decisions become facts only by a commit whose preconditions name the
 /// versions seen here. Updates of one key may come in any order and more than once; what comes out is the
-/// same. What a record says goes to one small class each (`Membership`, `TeamQuotas`, ...); jobs and their
-/// pages are kept here. Lives on the event loop, as do its observer and its callers.
+/// same. What a record says goes to one small class each (`MembershipIndex`, `TeamQuotas`, ...); jobs and
+/// their pages are kept here. Lives on the event loop, as do its observer and its callers.
 class StateCache {
   public:
     /// Both must outlive the cache.
@@ -186,7 +186,7 @@
     TasksByMachine tasks_by_machine_;
     MachineImages images_;
     TeamQuotas team_quotas_;
-    Membership membership_;
+    MembershipIndex membership_;
     FormatLevels format_levels_;
     std::vector<wire::MachineType> machine_types_;
 };
--- a/tests/state_indexes_test.cpp
+++ b/tests/state_indexes_test.cpp
@@ -4,7 +4,7 @@
 #include "store/cancelled_jobs.h"
 #include "store/format_levels.h"
 #include "store/machine_images.h"
-#include "store/membership.h"
+#include "store/membership_index.h"
 #include "store/record_versions.h"
 #include "store/tasks_by_machine.h"
 #include "store/team_quotas.h"
@@ -95,8 +95,8 @@
     EXPECT_FALSE(images.holds(machine, "old", 10));
 }
 
-TEST(Membership, ShardsKeepTheirNumber) {
-    Membership membership(2);
+TEST(MembershipIndex, ShardsKeepTheirNumber) {
+    MembershipIndex membership(2);
     membership.set_shard(1, {NodeName("n1"), Term{7}});
     membership.set_shard(2, {NodeName("n2"), Term{8}});
     ASSERT_EQ(membership.shards().size(), 2U);
