--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -1,10 +1,9 @@
-// Membership, part map, terms and the supplier's election, all through the state service.
+/// This controller's place in the cluster: its session, its view of the key-value store, what it leads.
 #pragma once
-#include <deque>
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <optional>
-#include <set>
+#include <utility>
 #include <vector>
 
 #include "base/env.h"
@@ -13,103 +12,81 @@
 #include "cluster/cluster_observer.h"
 #include "cluster/job_roles.h"
 #include "cluster/membership.h"
+#include "cluster/pending_reads.h"
+#include "cluster/session_keeper.h"
+#include "cluster/shard_leadership.h"
+#include "cluster/state_watcher.h"
 #include "cluster/write_budget_share.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
 
 namespace zincdyke {
 
+/// What the other parts of a controller ask about the cluster. It composes the classes that do the work and
+/// reviews regularly what this node should lead. All runs on the event loop.
 class ClusterCoordinator {
   public:
-    ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
+    /// The references must outlive this object.
+    ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                        ClusterObserver& observer);
+    /// Begins to read the store and to acquire a session; to be called once.
     void start();
     /// To be told by the state cache.
     void on_membership_changed();
 
-    // The model has been read in full and the watch goes on from there.
-    bool is_synced() const { return is_synced_; }
-    // The state service answers, and what it holds was read since it last went away: nothing is decided on
-    // the view from before a cut. Back from one, a supplier took the machines that others had long taken over
-    // for silent ones. Nor is anything on the view from before this process stood still: its own timer,
-    // overdue, tells so before it runs.
-    bool is_up_to_date() const {
-        return is_synced_ && !stale_ && store_.reachable() && env_.now() - awake_ < stall_limit;
+    /// The store has been read in full at least once.
+    [[nodiscard]] bool is_synced() const { return state_watcher_.is_loaded(); }
+    /// The store answers, and what it holds was read since it last went away, since this node last lost its
+    /// session and since this process last stalled: nothing is decided on a view from before. A stall counts
+    /// at once, before any overdue timer has run.
+    [[nodiscard]] bool is_up_to_date() const { return state_watcher_.is_up_to_date(); }
+    /// Calls back, from the loop, once the state cache holds all that was committed before this call: one
+    /// read of the store serves all who asked before it was sent. False when there was no answer within 1.7
+    /// s, or none is to be had.
+    void read_through(PendingReads::Callback done) { state_watcher_.read_through(std::move(done)); }
+
+    /// This node's term of a shard that it leads, as far as it knows.
+    [[nodiscard]] std::optional<Term> term(std::uint32_t shard) const {
+        return shard_leadership_.term(shard);
     }
-    // Term of a part that this process owns, as far as it knows.
-    std::optional<Term> term(std::uint32_t part) const;
-    std::optional<Term> leader_term(const MachineId& m) const { return term(state_cache_.shard_of(m)); }
-    // The node that a worker should report to.
-    std::optional<NodeName> leader_of(const MachineId& m) const;
-    bool is_autoscaler_leader() const;  // and in touch
-    std::vector<NodeName> live_nodes() const { return membership_.live_nodes(); }
-    bool is_live(const NodeName& n) const { return membership_.is_live(n); }
-    NodeName relay_of(const Job& j) const { return job_roles_.relay_of(j); }
-    NodeName committer_of(const Job& j) const { return job_roles_.committer_of(j); }
-    void update_write_share(double mine, const std::map<NodeName, double>& heard) {
-        write_budget_share_.update(mine, heard);
+    /// The same of the shard that the machine falls to.
+    [[nodiscard]] std::optional<Term> leader_term(const MachineId& machine) const {
+        return term(state_cache_.shard_of(machine));
     }
-    // Unique to this process among all that ever ran: the revision of its first session.
-    Revision incarnation() const { return incarnation_; }
-
-    // Gives a part to another live controller: this one hears none of its workers. Taken back at the earliest
-    // when a few leases have passed, or when the other is gone; a process that starts anew knows nothing of
-    // it.
-    void transfer_leadership(std::uint32_t part);
+    /// The controller that the machine's worker should report to, if that is another one, and alive.
+    [[nodiscard]] std::optional<NodeName> leader_of(const MachineId& machine) const;
+    /// Gives a shard to another live controller: this one receives nothing from its workers. Taken back at
+    /// the earliest after three worker leases, or when the other is gone; a process that starts anew knows
+    /// nothing of it.
+    void transfer_leadership(std::uint32_t shard);
+    /// This node is the autoscaler's leader, its session is open and its view is up to date.
+    [[nodiscard]] bool is_autoscaler_leader() const;
 
-    // Calls back, from the loop, when the model holds all that was committed before this call: one read of
-    // the state service answers all who asked before it was sent. False when none was answered in time.
-    void read_through(std::function<void(bool fresh)> done);
+    /// See Membership.
+    [[nodiscard]] std::vector<NodeName> live_nodes() const { return membership_.live_nodes(); }
+    [[nodiscard]] bool is_live(const NodeName& node) const { return membership_.is_live(node); }
+    /// See JobRoles.
+    [[nodiscard]] NodeName relay_of(const Job& job) const { return job_roles_.relay_of(job); }
+    [[nodiscard]] NodeName committer_of(const Job& job) const { return job_roles_.committer_of(job); }
+    /// See WriteBudgetShare::update.
+    void update_write_share(double own_demand, const std::map<NodeName, double>& peer_demands) {
+        write_budget_share_.update(own_demand, peer_demands);
+    }
+    /// See SessionKeeper.
+    [[nodiscard]] Revision incarnation() const { return session_keeper_.incarnation(); }
 
   private:
-    void acquire_session();
-    void request_grant();
-    void register_node();
-    void renew();
-    void load(const std::string& after, Revision from, SteadyTime begun);
-    void watch();
-    void take_news(const ListResult& news, SteadyTime sent);
-    void watch_presence();
-    void read_soon();
-    void answer_reads(std::uint64_t before);
-    Duration watch_pause() const;
-    void reload();
     void review();
-    void claim(std::uint32_t part);
-    void write_owner(std::uint32_t part, const NodeName& owner, std::function<void(CommitResult)> done);
     Env& env_;
     const Settings& settings_;
-    StoreClient& store_;
     StateCache& state_cache_;
-    ClusterObserver& observer_;
-    std::vector<NodeName> all_;
     Membership membership_;
     JobRoles job_roles_;
     WriteBudgetShare write_budget_share_;
+    StateWatcher state_watcher_;
+    SessionKeeper session_keeper_;
+    ShardLeadership shard_leadership_;
     AutoscalerElection autoscaler_election_;
-    std::uint64_t grant_ = 0;
-    bool registered_ = false, registering_ = false, acquiring_ = false, renewing_ = false, loading_ = false,
-         is_synced_ = false;
-    Revision incarnation_;
-    static constexpr Duration stall_limit = std::chrono::seconds(1);
-    SteadyTime awake_{};
-    std::uint64_t watch_run_ = 0;
-    int watch_fails_ = 0;
-    bool stale_ = false, watch_now_ = false, watch_open_ = false, read_armed_ = false;
-    struct Read {
-        std::uint64_t number = 0;
-        SteadyTime asked;
-        std::function<void(bool)> done;
-    };
-    std::deque<Read> reads_;  // oldest first
-    std::uint64_t next_read_ = 0;
-    SteadyTime last_read_{};
-    std::map<std::uint32_t, Term> claims_;  // won by this process
-    std::set<std::uint32_t> claiming_;
-    std::map<std::uint32_t, SteadyTime> handed_over_;
-    std::set<std::uint32_t> announced_;
-    std::vector<KeyUpdate> pending_;  // read so far by the load under way
-    Duration life_;
 };
 
 }  // namespace zincdyke
--- /dev/null
+++ b/src/cluster/pending_reads.cpp
@@ -0,0 +1,31 @@
+#include "cluster/pending_reads.h"
+
+#include <utility>
+
+namespace zincdyke {
+namespace {
+constexpr Duration read_timeout = std::chrono::milliseconds(1700);  // users wait for 2 s
+constexpr std::size_t max_pending_reads = 2000;
+}  // namespace
+
+void PendingReads::add(SteadyTime now, Callback done) {
+    reads_.push_back({next_number_++, now, std::move(done)});
+}
+
+bool PendingReads::is_full() const { return reads_.size() >= max_pending_reads; }
+
+void PendingReads::answer_below(std::uint64_t end) {
+    while (!reads_.empty() && reads_.front().number < end) finish_oldest(true);
+}
+
+void PendingReads::expire(SteadyTime now) {
+    while (!reads_.empty() && now - reads_.front().asked_at > read_timeout) finish_oldest(false);
+}
+
+void PendingReads::finish_oldest(bool is_fresh) {
+    const Callback done = std::move(reads_.front().done);
+    reads_.pop_front();
+    done(is_fresh);
+}
+
+}  // namespace zincdyke
