--- /dev/null
+++ b/src/jobs/job_routes.cpp
@@ -0,0 +1,50 @@
+#include "jobs/job_routes.h"
+
+#include <optional>
+#include <string>
+
+#include "wire/json_api.h"
+
+namespace zincdyke {
+namespace {
+
+struct Route {
+    std::string_view method, pattern;
+    JobAction action;
+};
+constexpr std::string_view id_placeholder = "{id}";
+// The first pattern that matches a path counts, whatever the method.
+constexpr Route routes[] = {
+    {"POST", "/api/jobs", JobAction::submit},
+    {"POST", "/api/jobs/{id}/cancel", JobAction::cancel},
+    {"GET", "/api/jobs/{id}", JobAction::get},
+};
+
+// What stands for the placeholder, which may be any text: whether it is an id is judged later. Empty for a
+// pattern without one; nothing when the path does not match.
+std::optional<std::string_view> match(std::string_view pattern, std::string_view path) {
+    const auto at = pattern.find(id_placeholder);
+    if (at == std::string_view::npos)
+        return path == pattern ? std::optional<std::string_view>("") : std::nullopt;
+    const auto prefix = pattern.substr(0, at), suffix = pattern.substr(at + id_placeholder.size());
+    if (path.size() < prefix.size() + suffix.size() || !path.starts_with(prefix) || !path.ends_with(suffix))
+        return std::nullopt;
+    return path.substr(prefix.size(), path.size() - prefix.size() - suffix.size());
+}
+
+}  // namespace
+
+tl::expected<JobTarget, RoutingError> parse_job_target(std::string_view method, std::string_view path) {
+    path = path.substr(0, path.find('?'));
+    for (const Route& route : routes) {
+        const auto id = match(route.pattern, path);
+        if (!id) continue;
+        if (method != route.method) return tl::unexpected(RoutingError::method_not_allowed);
+        if (route.action == JobAction::submit) return JobTarget{route.action, JobId()};
+        if (!wire::valid_job_id(*id)) return tl::unexpected(RoutingError::no_such_job);
+        return JobTarget{route.action, JobId(std::string(*id))};
+    }
+    return tl::unexpected(RoutingError::no_such_path);
+}
+
+}  // namespace zincdyke
