--- /dev/null
+++ b/src/app/status_report.cpp
@@ -0,0 +1,88 @@
+#include "app/status_report.h"
+
+#include <utility>
+
+namespace zincdyke {
+namespace {
+
+Json shard_list(const StateCache& state_cache) {
+    Json list = Json::array();
+    for (const Shard& shard : state_cache.shards())
+        list.push_back({{"leader", shard.leader.value()}, {"term", shard.term.value()}});
+    return list;
+}
+
+Json format_state(const StateCache& state_cache, const FormatLevel& format_level) {
+    Json waiting_for = Json::array();
+    for (const auto& node : format_level.waiting_for()) waiting_for.push_back(node.value());
+    return {{"level", state_cache.format_level()},
+            {"known", FormatLevel::highest_known},
+            {"waiting_for", std::move(waiting_for)}};
+}
+
+Json commit_counts(const TaskCommitter& committer) {
+    const auto& counts = committer.counts();
+    return {{"commits", counts.commits},    {"pages", counts.pages},         {"starts", counts.starts},
+            {"ends", counts.ends},          {"conflicts", counts.conflicts}, {"forwarded", counts.forwarded},
+            {"reclaimed", counts.reclaimed}};
+}
+
+Json store_counts(const StoreClient& store) {
+    const auto& counts = store.counts();
+    // `order` names the entries of the two lists, by their priority.
+    return {{"order", {"lease", "report", "decision", "user"}},
+            {"requests", counts.requests},
+            {"writes", counts.writes},
+            {"watches", counts.watches},
+            {"watch_bytes", counts.watch_bytes},
+            {"rate_limited", counts.refused},
+            {"load_shed", counts.shed}};
+}
+
+Json worker_counts(const WorkerManager& workers) {
+    const auto& counts = workers.counts();
+    return {{"heartbeats", counts.heartbeats},
+            {"leases_not_renewed", counts.leases_not_renewed},
+            {"stale_heartbeats", counts.stale_heartbeats},
+            {"placement_requests", counts.placement_requests},
+            {"offers", counts.offers},
+            {"capacity_computations", counts.capacity_computations},
+            {"heartbeat_requests", counts.heartbeat_requests}};
+}
+
+Json round_counts(const Relay& relay, const PlacementGatherer& gatherer) {
+    return {{"started", relay.counts().started},
+            {"decided", gatherer.counts().decided},
+            {"decision_ms", gatherer.counts().decision_ms},
+            {"failed_placements", relay.counts().failed_placements}};
+}
+
+Json start_time_counts(const StartTimes& times) {
+    Json by_class = Json::object();
+    for (const auto& [job_class, steps] : times.by_class())
+        for (std::size_t i = 0; i < steps.size(); ++i)
+            by_class[job_class][step_name(static_cast<StartStep>(i))] = steps[i];
+    return {{"bounds_s", StartTimes::bounds_s}, {"by_class", std::move(by_class)}};
+}
+
+}  // namespace
+
+std::string status_report(const StatusSources& sources) {
+    return Json{{"node", sources.settings.node.value()},
+                {"state_loaded", sources.cluster.is_synced()},
+                {"store_reachable", sources.store.reachable()},
+                {"autoscaler_leader", sources.state_cache.autoscaler_leader().value()},
+                {"revision", sources.state_cache.applied_revision.value()},
+                {"jobs", sources.state_cache.jobs().size()},
+                {"format", format_state(sources.state_cache, sources.format_level)},
+                {"commit_queue_length", sources.committer.queue_length()},
+                {"commits", commit_counts(sources.committer)},
+                {"store_requests", store_counts(sources.store)},
+                {"workers", worker_counts(sources.workers)},
+                {"placement_rounds", round_counts(sources.relay, sources.gatherer)},
+                {"start_times", start_time_counts(sources.workers.start_times())},
+                {"shards", shard_list(sources.state_cache)}}
+        .dump();
+}
+
+}  // namespace zincdyke
--- /dev/null
+++ b/src/jobs/guarantees.cpp
@@ -0,0 +1,34 @@
+#include "jobs/guarantees.h"
+
+#include <algorithm>
+#include <map>
+#include <tuple>
+#include <vector>
+
+namespace zincdyke {
+
+std::unordered_set<const Job*> jobs_within_guarantee(const StateCache& state_cache) {
+    std::map<TeamName, std::vector<const Job*>> jobs_by_team;
+    for (const auto& [id, job] : state_cache.jobs())
+        if (const Team* team = state_cache.team_limits(job.spec.team);
+            team != nullptr && (team->cpu > 0 || team->gpu > 0))
+            jobs_by_team[team->name].push_back(&job);
+    std::unordered_set<const Job*> guaranteed;
+    for (auto& [name, jobs] : jobs_by_team) {
+        const Team& team = *state_cache.team_limits(name);
+        std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
+            return std::tie(a->submitted, a->spec.id) < std::tie(b->submitted, b->spec.id);
+        });
+        std::int64_t cpu = 0, gpu = 0;
+        for (const Job* job : jobs) {
+            const auto unfinished = static_cast<std::int64_t>(job->spec.tasks - job->done);
+            cpu += job->spec.need.cpu * unfinished;
+            gpu += job->spec.need.gpu * unfinished;
+            if ((team.cpu > 0 && cpu > team.cpu) || (team.gpu > 0 && gpu > team.gpu)) break;
+            guaranteed.insert(job);
+        }
+    }
+    return guaranteed;
+}
+
+}  // namespace zincdyke
--- /dev/null
+++ b/src/jobs/placement_gatherer.cpp
@@ -0,0 +1,74 @@
+#include "jobs/placement_gatherer.h"
+
+#include <optional>
+#include <utility>
+
+namespace zincdyke {
+namespace {
+constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // from the first response
+constexpr Duration sweep_interval = std::chrono::milliseconds(100);
+// A response that comes later would begin the round anew, and be decided alone.
+constexpr Duration round_retention = std::chrono::seconds(6);
+}  // namespace
+
+PlacementGatherer::PlacementGatherer(Env& env, const StateCache& state_cache, PeerChannel& peers)
+    : env_(env), state_cache_(state_cache), peers_(peers) {}
+
+void PlacementGatherer::start() { forget_old_rounds(); }
+
+void PlacementGatherer::forget_old_rounds() {
+    env_.after(sweep_interval, [this] { forget_old_rounds(); });
+    const SteadyTime now = env_.now();
+    std::erase_if(rounds_,
+                  [&](const auto& entry) { return now - entry.second.first_response > round_retention; });
+}
+
+void PlacementGatherer::on_placement_response(const wire::PlacementResponse& response) {
+    Round& round = rounds_[response.round];
+    if (round.is_decided) {
+        // Too late for the choice: an empty decision frees the reserved capacity at once.
+        peers_.send(response.scorer, wire::PlacementDecision{response.round, response.job, {}});
+        return;
+    }
+    if (round.responded.empty()) {
+        round.job = response.job;
+        round.tasks = response.tasks;
+        round.expected = response.scorers;
+        round.first_response = env_.now();
+        round.timer = env_.after(gather_timeout, [this, id = response.round] { decide(id); });
+    }
+    if (!round.responded.insert(response.scorer).second) return;
+    round.is_gang = round.is_gang || response.is_gang;
+    for (const auto& offer : response.offers) round.offers.push_back({offer, response.scorer});
+    if (round.responded.size() >= round.expected) {
+        env_.cancel(round.timer);
+        decide(response.round);
+    }
+}
+
+void PlacementGatherer::decide(const wire::RoundId& id) {
+    const auto found = rounds_.find(id);
+    if (found == rounds_.end() || found->second.is_decided) return;
+    Round& round = found->second;
+    round.is_decided = true;
+    ++counts_.decided;
+    counts_.decision_ms += static_cast<std::uint64_t>((env_.now() - round.first_response).count() / 1000);
+    const Job* job = state_cache_.job(round.job);
+    std::optional<TaskIndex> max_per_zone;
+    if (job != nullptr && job->spec.spread) max_per_zone = sched::spread_limit(job->spec.tasks);
+    auto accepted = sched::choose(std::move(round.offers), round.tasks, round.is_gang, max_per_zone,
+                                  env_.rng(), job != nullptr && job->spec.one_zone);
+    round.offers.clear();
+    std::set<TaskIndex> failed(round.tasks.begin(), round.tasks.end());
+    for (const auto& scorer : round.responded) {
+        wire::PlacementDecision decision{id, round.job, {}};
+        if (const auto of_scorer = accepted.find(scorer); of_scorer != accepted.end())
+            decision.accepted = std::move(of_scorer->second);
+        for (const auto& assignment : decision.accepted) failed.erase(assignment.task);
+        peers_.send(scorer, std::move(decision));
+    }
+    if (!failed.empty())
+        peers_.send(id.relay, wire::PlacementFailure{id, round.job, {failed.begin(), failed.end()}});
+}
+
+}  // namespace zincdyke
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -1,67 +1,65 @@
-// Relay and gatherer: sends the waiting tasks of this node's jobs to all scorers, and picks among their
-// offers.
+/// The relay of this node's jobs: starts placement rounds for their waiting tasks.
 #pragma once
-#include <functional>
+#include <cstdint>
 #include <map>
-#include <set>
-#include <unordered_set>
+#include <optional>
 #include <vector>
 
 #include "base/env.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/peer_channel.h"
+#include "jobs/placement_backoff.h"
 #include "jobs/restart_backoff.h"
 #include "jobs/task_committer.h"
-#include "sched/logic.h"
-#include "sched/placement_constraints.h"
 #include "store/state_cache.h"
 #include "wire/peer_messages.h"
 
 namespace zincdyke {
 
+/// Asks all scorers for places for the waiting tasks of the jobs that this node relays, and closes those that
+/// are over. Who gets which place is the gatherer's choice (PlacementGatherer).
 class Relay {
   public:
-    Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& model,
-          ClusterCoordinator& cluster, TaskCommitter& ledger, PeerChannel& peers);
+    Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
+          ClusterCoordinator& cluster, TaskCommitter& committer, PeerChannel& peers);
     void start();
+
     void on_job_changed(const JobId& id);
-    void on_placement_response(const wire::PlacementResponse& m);
-    void on_placement_failure(const wire::PlacementFailure& m);
-    void on_capacity_freed(const wire::CapacityFreedNotification& m);
+    void on_placement_failure(const wire::PlacementFailure& failure);
+    void on_capacity_freed(const wire::CapacityFreedNotification& freed);
+
     struct Counts {
-        std::uint64_t rounds = 0, decided = 0, decide_ms = 0, unplaced = 0;
+        std::uint64_t started = 0;            ///< Rounds.
+        std::uint64_t failed_placements = 0;  ///< Tasks for which a round found no place.
     };
-    const Counts& counts() const { return counts_; }
-    // The jobs that fit their team's guarantee together with the team's earlier unfinished ones.
-    static std::unordered_set<const Job*> within_guarantee(const StateCache& model);
+    [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
-    struct Waiting {
-        std::map<TaskIndex, SteadyTime> asked;  // in a round, or said yes to and not yet seen placed
-        SteadyTime not_before{};
-        SteadyTime stuck_since{};  // tasks found no room since then
-        SteadyTime handed_over{};
-        RestartBackoff restarts;  // of a service's replicas
-    };
-    struct Gathering {
-        JobId job;
-        std::vector<TaskIndex> tasks;
-        bool whole = false;
-        std::vector<sched::ScoredOffer> offers;
-        std::set<NodeName> answered;
-        std::size_t expected = 0;
-        Env::TimerId timer = 0;
-        bool decided = false;
-        SteadyTime since{};
+    // What is known of the rounds of a job while this node relays it.
+    struct WaitingJob {
+        std::map<TaskIndex, SteadyTime> requested;  // in a round, or accepted and not yet seen placed
+        SteadyTime not_before{};                    // of its next round
+        std::optional<SteadyTime> failing_since;    // no task has been placed since a round failed then
+        std::optional<SteadyTime> relay_changed;    // when it was last passed to another relay
+        RestartBackoff restarts;                    // of a service's replicas
     };
+
     void tick();
-    void wake();
+    void forget_expired();
+    void plan_soon();
     void plan();
-    void note_placed(const Job& j, Waiting& w) const;
-    bool ask(const Job& j, Waiting& w);
-    bool hand_over(const Job& j, Waiting& w);
-    void decide(const wire::RoundId& id);
-    void tidy();
+    std::vector<const Job*> jobs_to_place();
+    void sort_by_precedence(std::vector<const Job*>& jobs) const;
+    void note_placed_tasks(const Job& job, WaitingJob& waiting) const;
+
+    // Each returns whether it did what its name says.
+    bool change_relay_if_stuck(const Job& job, WaitingJob& waiting);
+    bool start_round(const Job& job, WaitingJob& waiting);
+
+    std::vector<TaskIndex> tasks_to_request(const Job& job, WaitingJob& waiting) const;
+    bool is_due(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
+    void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
+
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
@@ -69,30 +67,11 @@
     ClusterCoordinator& cluster_;
     TaskCommitter& committer_;
     PeerChannel& peers_;
-    std::map<JobId, Waiting> waiting_;
-    std::map<wire::RoundId, Gathering> rounds_;
-    std::uint64_t next_round_ = 0;
-    // Jobs of one kind find room on the same machines. Their amounts vary from job to job, and are compared
-    // apart: with the amounts in the key every waiting job of a burst asked anew, and the messages took the
-    // controllers' processors.
-    struct JobKind {
-        std::string job_class;
-        sched::PlacementConstraints constraints;
-        auto operator<=>(const JobKind&) const = default;
-    };
-    static JobKind kind_of(const Job& j);
-    // What found no room lately: jobs of that kind that need as much or more are not asked for until then.
-    struct Full {
-        Resources need;
-        std::optional<std::vector<std::string>> types;
-        SteadyTime until{};
-    };
-    std::map<JobKind, Full> no_room_;
-    // When the next job of a kind may ask. One round at a time shows whether there is room at all: all
-    // waiting jobs of a burst asking at once took the whole share of the controllers' processors.
-    std::map<JobKind, SteadyTime> kind_next_;
-    bool woken_ = false;
-    SteadyTime planned_{};
+    std::map<JobId, WaitingJob> waiting_;
+    PlacementBackoff backoff_;
+    std::uint64_t last_round_ = 0;
+    bool is_plan_scheduled_ = false;
+    SteadyTime last_plan_{};
     Counts counts_;
 };
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -84,7 +84,7 @@
         for (int n = 0; n < w.nodes(); ++n) {
             if (!w.up(n)) continue;
             const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
-            EXPECT_LT(status["ledger_queue"].get<int>(), 2 * machines);
+            EXPECT_LT(status["commit_queue_length"].get<int>(), 2 * machines);
         }
         EXPECT_LE(w.most_calls, 256U);
     }
@@ -149,8 +149,8 @@
     std::uint64_t placement_requests = 0, looks = 0;
     for (int n = 0; n < 7; ++n) {
         const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
-        placement_requests += status["workers"]["asks"].get<std::uint64_t>();
-        looks += status["workers"]["rooms"].get<std::uint64_t>();
+        placement_requests += status["workers"]["placement_requests"].get<std::uint64_t>();
+        looks += status["workers"]["capacity_computations"].get<std::uint64_t>();
     }
     // Without the memory of it: once for each of an owner's machines in each ask.
     EXPECT_GT(placement_requests, 500U);
--- a/tests/stories_test.cpp
+++ b/tests/stories_test.cpp
@@ -723,7 +723,7 @@
         w.run(1);
         for (int n = 0; n < 7; ++n) {
             const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
-            most_queued = std::max(most_queued, status["ledger_queue"].get<std::size_t>());
+            most_queued = std::max(most_queued, status["commit_queue_length"].get<std::size_t>());
         }
     }
     EXPECT_TRUE(told_all(w, ids, 120));
@@ -731,10 +731,10 @@
     std::uint64_t commits = 0, conflicts = 0, starts = 0, writes = 0;
     for (int n = 0; n < 7; ++n) {
         const Json status = Json::parse(w.ask(n, "GET", "/internal/status").body);
-        commits += status["ledger"]["commits"].get<std::uint64_t>();
-        conflicts += status["ledger"]["conflicts"].get<std::uint64_t>();
-        starts += status["ledger"]["starts"].get<std::uint64_t>();
-        for (const auto& n2 : status["state_service_use"]["writes"]) writes += n2.get<std::uint64_t>();
+        commits += status["commits"]["commits"].get<std::uint64_t>();
+        conflicts += status["commits"]["conflicts"].get<std::uint64_t>();
+        starts += status["commits"]["starts"].get<std::uint64_t>();
+        for (const auto& n2 : status["store_requests"]["writes"]) writes += n2.get<std::uint64_t>();
     }
     EXPECT_EQ(starts, 2400U);
     EXPECT_LT(conflicts * 20, commits);
