--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,3 +1,4 @@
+// The program: reads its settings, then runs one controller until the process is ended.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -12,46 +13,76 @@
 #include "loop/http_server.h"
 
 namespace {
-// A process starts with 1,024 files in most places, whatever its settings allow it.
+
+constexpr int exit_failed = 1;         // could not start, or ended by an error that nobody foresaw
+constexpr int exit_invalid_input = 2;  // wrong arguments, settings or policy
+
+constexpr rlim_t reserved_files = 64;  // for what is no socket
+constexpr rlim_t min_sockets = 32;
+
+// Raises the limit on open files to what the settings allow: a process starts with 1,024 in most places.
+// Where the system allows fewer, the settings are lowered to that.
 void raise_file_limit(zincdyke::Settings& settings) {
     rlimit limit{};
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
-    const rlim_t wanted = rlim_t{settings.max_sockets} + 64;
+    const rlim_t wanted = rlim_t{settings.max_sockets} + reserved_files;
     if (limit.rlim_cur >= wanted) return;
     rlimit raised = limit;
     raised.rlim_cur = limit.rlim_max == RLIM_INFINITY ? wanted : std::min(wanted, limit.rlim_max);
     if (::setrlimit(RLIMIT_NOFILE, &raised) == 0) limit = raised;
     if (limit.rlim_cur >= wanted) return;
-    const auto fewer = static_cast<std::uint32_t>(
-        std::max<rlim_t>(32, limit.rlim_cur - std::min<rlim_t>(limit.rlim_cur, 64)));
-    zincdyke::log::warn("event=few_files open_files={} max_sockets={} used={}", limit.rlim_cur,
-                        settings.max_sockets, fewer);
-    settings.max_sockets = std::min(settings.max_sockets, fewer);
+    const rlim_t available = limit.rlim_cur - std::min(limit.rlim_cur, reserved_files);
+    const auto max_sockets = static_cast<std::uint32_t>(std::max(min_sockets, available));
+    zincdyke::log::warn("event=open_file_limit_low open_files={} max_sockets={} used={}", limit.rlim_cur,
+                        settings.max_sockets, max_sockets);
+    settings.max_sockets = std::min(settings.max_sockets, max_sockets);
+}
+
+// Runs one controller. Returns only if the event loop ends; throws if it cannot start.
+void run_controller(const zincdyke::Settings& settings, const zincdyke::Policy& policy) {
+    zincdyke::Loop loop;
+    // The links and the server need handlers before the node exists, but call them only from the loop.
+    std::unique_ptr<zincdyke::Node> node;
+    zincdyke::RealEnv env(
+        loop, settings, [&node](const zincdyke::NodeName& from, const zincdyke::wire::PeerMessage& message) {
+            if (node) node->on_peer(from, message);
+        });
+    node = std::make_unique<zincdyke::Node>(env, settings, policy);
+    zincdyke::ServerLimits limits;
+    limits.connections = settings.sockets().server;
+    zincdyke::HttpServer server(loop, settings.api_addr, limits,
+                                [&node](const zincdyke::HttpRequest& request, const zincdyke::Reply& reply) {
+                                    node->on_request(request, reply);
+                                });
+    node->start();
+    zincdyke::log::info("event=started version={} api={} cluster={}", ZINCDYKE_VERSION, settings.api_addr,
+                        settings.cluster_listen);
+    loop.run();
 }
 
 int run(int argc, char** argv) {
     CLI::App app{"zincdyke: a cluster scheduler"};
-    std::string config, policy_file;
-    bool check = false;
-    app.add_option("--config", config, "settings file of the platform (TOML)")->required();
+    std::string settings_file, policy_file;
+    bool check_only = false;
+    app.add_option("--config", settings_file, "settings file of the platform (TOML)")->required();
     app.add_option("--policy", policy_file, "the operators' own settings (Lua)");
-    app.add_flag("--check", check, "check the settings and the policy, then exit");
+    app.add_flag("--check", check_only, "check the settings and the policy, then exit");
     app.set_version_flag("--version", std::string("zincdyke ") + ZINCDYKE_VERSION);
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? 0 : 2;
+        return app.exit(e) == 0 ? 0 : exit_invalid_input;
     }
     zincdyke::Settings settings;
     zincdyke::Policy policy;
     try {
-        settings = zincdyke::load_settings(config);
+        settings = zincdyke::load_settings(settings_file);
         if (!policy_file.empty()) policy = zincdyke::load_policy(policy_file);
     } catch (const std::exception& e) {
         std::cerr << "zincdyke: " << e.what() << '\n';
-        return 2;
+        return exit_invalid_input;
     }
-    if (check) {
+    if (check_only) {
         std::cout << "settings are valid\n";
         return 0;
     }
@@ -59,29 +90,14 @@
     zincdyke::log::setup(settings.node.value());
     raise_file_limit(settings);
     try {
-        zincdyke::Loop loop;
-        std::unique_ptr<zincdyke::Node> node;
-        zincdyke::RealEnv env(loop, settings,
-                              [&node](const zincdyke::NodeName& from, const zincdyke::wire::PeerMessage& m) {
-                                  if (node) node->on_peer(from, m);
-                              });
-        node = std::make_unique<zincdyke::Node>(env, settings, policy);
-        zincdyke::ServerLimits limits;
-        limits.connections = settings.sockets().server;
-        zincdyke::HttpServer server(loop, settings.api_addr, limits,
-                                    [&node](const zincdyke::HttpRequest& req, const zincdyke::Reply& reply) {
-                                        node->on_request(req, reply);
-                                    });
-        node->start();
-        zincdyke::log::info("event=started version={} api={} cluster={}", ZINCDYKE_VERSION, settings.api_addr,
-                            settings.cluster_listen);
-        loop.run();
+        run_controller(settings, policy);
     } catch (const std::exception& e) {
-        zincdyke::log::error("event=ended why=\"{}\"", e.what());
-        return 1;
+        zincdyke::log::error("event=process_failed reason=\"{}\"", e.what());
+        return exit_failed;
     }
     return 0;
 }
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -92,5 +108,5 @@
     } catch (...) {
         std::cerr << "zincdyke: unknown error\n";
     }
-    return 1;
+    return exit_failed;
 }
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -1,4 +1,4 @@
-// Env on the epoll loop.
+/// Env on the epoll loop, with real sockets and clocks.
 #pragma once
 #include "base/env.h"
 #include "loop/http_client.h"
@@ -7,18 +7,22 @@
 
 namespace zincdyke {
 
+/// The key-value store, the cloud and the workers each have an HTTP client of their own, so that silent
+/// workers hold up no lease and no commit. `loop` and `settings` must outlive it.
 class RealEnv : public Env {
   public:
     RealEnv(Loop& loop, const Settings& settings, PeerLinks::Handler on_peer);
     SteadyTime now() override { return Loop::now(); }
     WallTime wall() override { return Loop::wall(); }
-    TimerId after(Duration d, std::function<void()> fn) override { return loop_.after(d, std::move(fn)); }
+    TimerId after(Duration delay, std::function<void()> fn) override {
+        return loop_.after(delay, std::move(fn));
+    }
     void cancel(TimerId id) override { loop_.cancel(id); }
-    void http(const std::string& address, HttpRequest req, Duration timeout, Reply done) override {
-        HttpClient& client = address == settings_.state   ? state_
+    void http(const std::string& address, HttpRequest request, Duration timeout, Reply done) override {
+        HttpClient& client = address == settings_.state   ? store_
                              : address == settings_.cloud ? cloud_
                                                           : workers_;
-        client.request(address, req, timeout, std::move(done));
+        client.request(address, request, timeout, std::move(done));
     }
     void send_peer(const NodeName& to, std::string message) override { peers_.send(to, message); }
     std::mt19937_64& rng() override { return rng_; }
@@ -26,7 +30,7 @@
   private:
     Loop& loop_;
     const Settings& settings_;
-    HttpClient state_, cloud_, workers_;
+    HttpClient store_, cloud_, workers_;
     PeerLinks peers_;
     std::mt19937_64 rng_;
 };
