--- a/tests/capacity_tracker_test.cpp
+++ b/tests/capacity_tracker_test.cpp
@@ -56,10 +56,10 @@
 
 TEST_F(CapacityTrackerTest, OffersWithoutADecisionExpire) {
     tracker_.reserve(round_, need_, {{id_, "a", 0}});
-    env_.current += millis(2500);
+    env_.stall(millis(2500));
     tracker_.expire_reservations();
     EXPECT_EQ(free_cpu(), 7000);
-    env_.current += millis(1);
+    env_.stall(millis(1));
     tracker_.expire_reservations();
     EXPECT_EQ(free_cpu(), 8000);
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -85,7 +85,7 @@
         for (int n = 0; n < deployment.controller_count(); ++n) {
             if (!deployment.is_running(n)) continue;
             const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
-            EXPECT_LT(status["ledger_queue"].get<int>(), 2 * machines);
+            EXPECT_LT(status["commit_queue_length"].get<int>(), 2 * machines);
         }
         EXPECT_LE(deployment.controllers.max_open_worker_requests(), 256U);
     }
@@ -151,8 +151,8 @@
     std::uint64_t placement_requests = 0, looks = 0;
     for (int n = 0; n < 7; ++n) {
         const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
-        placement_requests += status["workers"]["asks"].get<std::uint64_t>();
-        looks += status["workers"]["rooms"].get<std::uint64_t>();
+        placement_requests += status["workers"]["placement_requests"].get<std::uint64_t>();
+        looks += status["workers"]["capacity_computations"].get<std::uint64_t>();
     }
     // Without the memory of it: once for each of an owner's machines in each ask.
     EXPECT_GT(placement_requests, 500U);
--- a/tests/machine_cordons_test.cpp
+++ b/tests/machine_cordons_test.cpp
@@ -20,12 +20,12 @@
     MachineCordons cordons(env);
     const MachineId machine("m1");
     cordons.on_task_failed(machine, job_named("a"));
-    env.current += seconds(9.9);
+    env.stall(seconds(9.9));
     EXPECT_TRUE(cordons.is_cordoned(machine));
-    env.current += seconds(0.1);
+    env.stall(seconds(0.1));
     EXPECT_FALSE(cordons.is_cordoned(machine));
     cordons.on_task_failed(machine, job_named("a"));
-    env.current += seconds(19.9);
+    env.stall(seconds(19.9));
     EXPECT_TRUE(cordons.is_cordoned(machine));
     EXPECT_EQ(cordons.error_count(machine), 2);
     cordons.on_task_completed(machine);
@@ -69,7 +69,7 @@
     MachineCordons cordons(env);
     cordons.cordon(MachineId("m1"), seconds(10));
     cordons.cordon(MachineId("m1"), seconds(3));
-    env.current += seconds(5);
+    env.stall(seconds(5));
     EXPECT_TRUE(cordons.is_cordoned(MachineId("m1")));
     cordons.on_machine_removed(MachineId("m1"));
     EXPECT_FALSE(cordons.is_cordoned(MachineId("m1")));
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -33,9 +33,9 @@
     ManualEnv env;
     RecordingObserver observer;
     MachineRegistry registry(env, observer);
-    const SteadyTime begun = env.current;
+    const SteadyTime begun = env.now();
     registry.find_or_add(MachineId("m1"));
-    env.current += seconds(5);
+    env.stall(seconds(5));
     EXPECT_EQ(registry.find_or_add(MachineId("m1")).first_known, begun);
 }
 
--- a/tests/stories_test.cpp
+++ b/tests/stories_test.cpp
@@ -741,7 +741,7 @@
         deployment.run(1);
         for (int n = 0; n < 7; ++n) {
             const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
-            most_queued = std::max(most_queued, status["ledger_queue"].get<std::size_t>());
+            most_queued = std::max(most_queued, status["commit_queue_length"].get<std::size_t>());
         }
     }
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 120));
@@ -749,9 +749,9 @@
     std::uint64_t commits = 0, conflicts = 0, starts = 0, writes = 0;
     for (int n = 0; n < 7; ++n) {
         const Json status = Json::parse(deployment.request(n, "GET", "/internal/status").body);
-        commits += status["ledger"]["commits"].get<std::uint64_t>();
-        conflicts += status["ledger"]["conflicts"].get<std::uint64_t>();
-        starts += status["ledger"]["starts"].get<std::uint64_t>();
+        commits += status["commits"]["commits"].get<std::uint64_t>();
+        conflicts += status["commits"]["conflicts"].get<std::uint64_t>();
+        starts += status["commits"]["starts"].get<std::uint64_t>();
         for (const auto& n2 : status["state_service_use"]["writes"]) writes += n2.get<std::uint64_t>();
     }
     EXPECT_EQ(starts, 2400U);
