--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -24,7 +24,7 @@
     if (limit.rlim_cur >= wanted) return;
     const auto fewer = static_cast<std::uint32_t>(
         std::max<rlim_t>(32, limit.rlim_cur - std::min<rlim_t>(limit.rlim_cur, 64)));
-    zincdyke::log::warn("event=few_files open_files={} max_sockets={} used={}", limit.rlim_cur,
+    zincdyke::log::warn("event=file_limit_low open_files={} max_sockets={} used={}", limit.rlim_cur,
                         settings.max_sockets, fewer);
     settings.max_sockets = std::min(settings.max_sockets, fewer);
 }
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -17,10 +17,10 @@
 
 constexpr double min_task_left_s = 3;          // that a running task is expected to run on
 constexpr double task_left_of_estimate = 0.7;  // likewise, as a share of its whole run
-constexpr double unheard_free_in_s = 1;        // until an owner hears a machine that runs by the cloud's word
-constexpr double unheard_usable_s = 5;         // for so long it is counted on
-constexpr double unheard_margin_s = 10;        // beyond a silent machine's time, before it is returned
-constexpr double never_heard_keep_s = 3;  // beyond the lease, for a machine its present owner never heard
+constexpr double unheard_free_in_s = 1;   // until a leader hears a machine that the cloud lists as running
+constexpr double unheard_usable_s = 5;    // for so long it is counted on
+constexpr double unheard_margin_s = 10;   // beyond a silent machine's time, before it is returned
+constexpr double never_heard_keep_s = 3;  // beyond the lease, for a machine its present leader never heard
 constexpr double boot_margin_s = 5;       // beyond the policy's limit for boots
 constexpr double min_boot_left_s = 1;
 
@@ -31,30 +31,32 @@
 }  // namespace
 
 Autoscaler::Autoscaler(Env& env, const Settings& settings, const Policy& policy, StoreClient& store,
-                       StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud, PeerChannel& peers)
+                       StateCache& state_cache, ClusterCoordinator& cluster, CloudClient& cloud,
+                       PeerChannel& peers)
     : env_(env),
       settings_(settings),
       policy_(policy),
       store_(store),
-      state_cache_(model),
+      state_cache_(state_cache),
       cluster_(cluster),
       cloud_(cloud),
       peers_(peers),
       inventory_(settings),
       provisioner_(env, settings, policy_, cluster, cloud, inventory_, peers),
-      reservations_(env, settings, policy_, model, inventory_, peers) {}
+      reservations_(env, settings, policy_, state_cache, inventory_, peers) {}
 
 void Autoscaler::start() { tick(); }
 
 void Autoscaler::on_peer_heartbeat(const NodeName& from, const wire::PeerHeartbeat& beat) {
     const SteadyTime now = env_.now();
     for (const auto& machine : beat.machines) {
-        // Only the owner's word counts: one back from a cut still told of machines it had lost, as silent.
+        // Only the leader's report counts: a former leader back from a partition still reports machines as
+        // silent that it no longer leads.
         if (state_cache_.shards()[state_cache_.shard_of(machine.id)].leader != from) continue;
         if (!inventory_.was_returned(machine.id)) {
             inventory_.record_report(from, machine, now);
         } else if (machine.busy_tasks > 0 && cluster_.is_autoscaler_leader()) {
-            // Its owner missed the word of the return, and still counts tasks on it.
+            // Its leader missed the notification of the termination, and still counts tasks on it.
             peers_.send(from, wire::MachinesTerminatedNotification{{machine.id}});
         }
     }
@@ -220,7 +222,7 @@
     }
 }
 
-// A machine that its owner hears: its free room, and that of its tasks when they end.
+// A machine that its leader hears: its free room, and that of its tasks when they end.
 bool Autoscaler::add_heard_slots(autoscaler::Bin& bin, const wire::MachineStatus& beat,
                                  const wire::MachineType& type) const {
     if (!beat.usable) return false;
@@ -237,7 +239,7 @@
     return true;
 }
 
-// Up by the cloud's word: not slow to boot, whatever its age. After an election or a restart its owner may
+// Up by the cloud's word: not slow to boot, whatever its age. After an election or a restart its leader may
 // not have heard it yet; one that nobody hears for long can't be used and is returned.
 bool Autoscaler::add_unheard_slots(autoscaler::Bin& bin, autoscaler::RentedMachine& machine,
                                    const wire::MachineType& type, Faulty& faulty, SteadyTime now) const {
@@ -283,20 +285,20 @@
 }
 
 // Out of touch beyond its lease: its tasks are lost anyway, but a cut may still end. One that its present
-// owner never heard can't be proven empty but by its return.
+// leader never heard can't be proven empty but by its return.
 bool Autoscaler::is_lost(const wire::MachineStatus& beat) const {
     const double keep_s = beat.address.empty() ? never_heard_keep_s : policy_.silent_keep_s;
     return beat.silent && beat.silent_ms > (settings_.lease_s + keep_s) * 1000;
 }
 
-// A new supplier sees what its predecessor rented only when the list has caught up. Where it became the
-// supplier in the first second of its clock, there was none before it.
+// A new autoscaler leader sees what its predecessor rented only when the list has caught up. Where it became
+// the leader in the first second of its clock, there was none before it.
 bool Autoscaler::inventory_complete(SteadyTime now) const {
     const Duration catch_up = seconds(std::min(max_catch_up_s, settings_.list_lag_s + catch_up_margin_s));
     return now - active_since_ > catch_up || active_since_ - SteadyTime{} < first_second;
 }
 
-// Asks the owners of machines that have long been idle, and aren't wanted by the plan, to empty them.
+// Asks the leaders of machines that have long been idle, and aren't wanted by the plan, to empty them.
 void Autoscaler::drain_idle(const std::set<MachineId>& wanted, SteadyTime now) {
     for (auto& [id, machine] : inventory_.rented()) {
         const autoscaler::MachineReport* report = inventory_.find_report(id);
@@ -306,7 +308,7 @@
             !is_idle(report->beat, state_cache_.machine_type(machine.type)))
             continue;
         machine.drain_asked = now;
-        peers_.send(report->owner, wire::DrainRequest{id});
+        peers_.send(report->leader, wire::DrainRequest{id});
     }
 }
 
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,4 +1,4 @@
-/// The supplier: the elected controller that rents machines for the waiting work and returns them.
+/// The autoscaler: its elected leader scales out for the waiting work, and scales in again.
 #pragma once
 #include <set>
 #include <string>
@@ -21,22 +21,22 @@
 
 namespace zincdyke {
 
-/// The autoscaler. Every controller has one; only the elected supplier's acts.
+/// The autoscaler. Every controller has one; only that of the elected autoscaler leader acts.
 ///
 /// Twice a second it plans which machines the waiting work needs, rents those that are missing, gives up slow
 /// boots, and returns machines that are idle, silent or failed.
 class Autoscaler {
   public:
     Autoscaler(Env& env, const Settings& settings, const Policy& policy, StoreClient& store,
-               StateCache& model, ClusterCoordinator& cluster, CloudClient& cloud, PeerChannel& peers);
+               StateCache& state_cache, ClusterCoordinator& cluster, CloudClient& cloud, PeerChannel& peers);
 
     /// Begins to tick.
     void start();
-    /// A controller reports the machines of its parts.
+    /// A controller reports the machines of its shards.
     void on_peer_heartbeat(const NodeName& from, const wire::PeerHeartbeat& beat);
-    /// An owner has emptied a machine that it was asked to drain.
+    /// A leader has emptied a machine that it was asked to drain.
     void on_drain_response(const wire::DrainResponse& message);
-    /// The supplier tells of machines whose return is confirmed.
+    /// The autoscaler leader tells of machines whose termination is confirmed.
     void on_machines_terminated(const wire::MachinesTerminatedNotification& message);
 
   private:
@@ -82,12 +82,12 @@
     autoscaler::MachineInventory inventory_;
     autoscaler::Provisioner provisioner_;
     autoscaler::ReservationPlanner reservations_;
-    bool active_ = false;    // this node is the supplier
+    bool active_ = false;    // this node is the autoscaler leader
     bool listing_ = false;   // a page of the cloud's list has been asked for
-    bool listed_ = false;    // the list has been read to its end since this node became the supplier
+    bool listed_ = false;    // the list has been read to its end since this node became the leader
     bool cleaning_ = false;  // an orphan is being deleted
     SteadyTime active_since_{}, list_due_{}, types_due_{};
-    std::set<MachineId> drained_;  // empty by their owners' word, to be returned together
+    std::set<MachineId> drained_;  // empty by their leaders' word, to be returned together
 };
 
 }  // namespace zincdyke
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -23,11 +23,12 @@
 constexpr double not_clearable_loss = 1e6;
 }  // namespace
 
-ClassReservations::ClassReservations(const Settings& settings, const Policy& policy, const StateCache& model,
-                                     Preemptor& preemptor, const ReservationMap& previous, PlanInput& plan)
+ClassReservations::ClassReservations(const Settings& settings, const Policy& policy,
+                                     const StateCache& state_cache, Preemptor& preemptor,
+                                     const ReservationMap& previous, PlanInput& plan)
     : settings_(settings),
       policy_(policy),
-      state_cache_(model),
+      state_cache_(state_cache),
       preemptor_(preemptor),
       previous_(previous),
       plan_(plan) {}
--- a/src/autoscaler/class_reservations.h
+++ b/src/autoscaler/class_reservations.h
@@ -26,7 +26,7 @@
   public:
     /// `previous` holds the reservations made by the last pass. The bins in `plan` are marked as they are
     /// reserved.
-    ClassReservations(const Settings& settings, const Policy& policy, const StateCache& model,
+    ClassReservations(const Settings& settings, const Policy& policy, const StateCache& state_cache,
                       Preemptor& preemptor, const ReservationMap& previous, PlanInput& plan);
 
     /// Reserves machines for one class where it needs any, and adds them to `reserved`. Returns the demand
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -50,17 +50,18 @@
 }
 
 void join(Demand& joined, const Demand& other) {
-    const double n = joined.tasks, m = other.tasks;
-    joined.run_s = (joined.run_s * n + other.run_s * m) / std::max(1.0, n + m);
+    const double joined_tasks = joined.tasks, other_tasks = other.tasks;
+    joined.run_s =
+        (joined.run_s * joined_tasks + other.run_s * other_tasks) / std::max(1.0, joined_tasks + other_tasks);
     joined.patience_s = std::min(joined.patience_s, other.patience_s);
     joined.tasks += other.tasks;
     // What fits the larger fits both.
     if (other.spec->need.cpu > joined.spec->need.cpu) joined.spec = other.spec;
 }
 
-std::vector<const Job*> waiting_jobs(const StateCache& model) {
+std::vector<const Job*> waiting_jobs(const StateCache& state_cache) {
     std::vector<const Job*> jobs;
-    for (const auto& [id, job] : model.jobs())
+    for (const auto& [id, job] : state_cache.jobs())
         if (!job.cancelled && job.pending() > 0) jobs.push_back(&job);
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         if (a->spec.rank != b->spec.rank) return a->spec.rank < b->spec.rank;
@@ -83,15 +84,15 @@
 }
 }  // namespace
 
-std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const StateCache& model,
-                                    WallTime now) {
+std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy,
+                                    const StateCache& state_cache, WallTime now) {
     std::vector<Demand> demands;
     std::map<TeamName, QuotaUsage> use_by_team;
-    for (const Job* job : waiting_jobs(model)) {
-        const Team* team = model.team_limits(job->spec.team);
+    for (const Job* job : waiting_jobs(state_cache)) {
+        const Team* team = state_cache.team_limits(job->spec.team);
         if (team == nullptr) continue;
         auto [use, fresh] = use_by_team.try_emplace(job->spec.team);
-        if (fresh) use->second = model.quota_usage(job->spec.team);
+        if (fresh) use->second = state_cache.quota_usage(job->spec.team);
         const std::int64_t tasks = take_team_room(*team, use->second, *job);
         if (tasks == 0) continue;
         const double waited_s = static_cast<double>(now.value() - job->submitted.value()) / 1000.0;
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -11,8 +11,8 @@
 
 /// What waits for machines at `now`, the most urgent first. Tasks that their team's limit keeps waiting are
 /// left out.
-std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy, const StateCache& model,
-                                    WallTime now);
+std::vector<Demand> waiting_demands(const Settings& settings, const Policy& policy,
+                                    const StateCache& state_cache, WallTime now);
 
 /// Of very many demands joins those that are alike in all that counts, so that planning stays quick.
 std::vector<Demand> merge(std::vector<Demand> demands);
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -24,9 +24,14 @@
 }
 }  // namespace
 
-GangReservations::GangReservations(const Settings& settings, const StateCache& model, Preemptor& preemptor,
-                                   const ReservationMap& previous, std::vector<Bin>& bins)
-    : settings_(settings), state_cache_(model), preemptor_(preemptor), previous_(previous), bins_(bins) {}
+GangReservations::GangReservations(const Settings& settings, const StateCache& state_cache,
+                                   Preemptor& preemptor, const ReservationMap& previous,
+                                   std::vector<Bin>& bins)
+    : settings_(settings),
+      state_cache_(state_cache),
+      preemptor_(preemptor),
+      previous_(previous),
+      bins_(bins) {}
 
 ReservationMap GangReservations::reserve(WallTime now) {
     ReservationMap reserved;
@@ -80,7 +85,7 @@
 }
 
 // Gangs come in few shapes. The machines of each are ordered once: looked up for each of hundreds of gangs
-// this took a fifth of the supplier's time.
+// this took a fifth of the autoscaler leader's time.
 const std::vector<RatedBin>& GangReservations::bins_by_time(const Job& gang,
                                                             const std::optional<std::string>& zone) {
     sched::PlacementConstraints constraints = sched::PlacementConstraints::of(gang.spec);
--- a/src/autoscaler/gang_reservations.h
+++ b/src/autoscaler/gang_reservations.h
@@ -27,7 +27,7 @@
 class GangReservations {
   public:
     /// `previous` holds the reservations made by the last pass; `bins` are marked as they are reserved.
-    GangReservations(const Settings& settings, const StateCache& model, Preemptor& preemptor,
+    GangReservations(const Settings& settings, const StateCache& state_cache, Preemptor& preemptor,
                      const ReservationMap& previous, std::vector<Bin>& bins);
 
     /// Reserves machines for the gangs that have waited too long at `now`, and returns them.
--- a/src/autoscaler/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -30,8 +30,9 @@
     return report != nullptr && is_fresh(*report, now) ? report : nullptr;
 }
 
-void MachineInventory::record_report(const NodeName& owner, const wire::MachineStatus& beat, SteadyTime now) {
-    reports_[beat.id] = {beat, owner, now};
+void MachineInventory::record_report(const NodeName& leader, const wire::MachineStatus& beat,
+                                     SteadyTime now) {
+    reports_[beat.id] = {beat, leader, now};
     // A machine that reports is there, whatever the lagging list says: unexpected ones are used or returned.
     if (beat.silent || beat.address.empty()) return;
     auto [it, fresh] = rented_.try_emplace(beat.id);
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -1,4 +1,5 @@
-/// What the supplier knows of the machines: rented, listed by the cloud, reported by their owners, returned.
+/// What the autoscaler leader knows of the machines: rented, listed by the cloud, reported by their leaders,
+/// returned.
 #pragma once
 #include <map>
 #include <set>
@@ -30,14 +31,14 @@
     SteadyTime drain_asked{};
 };
 
-/// The latest word of a machine's owner.
+/// The latest report of a machine's leader.
 struct MachineReport {
     wire::MachineStatus beat;
-    NodeName owner;
+    NodeName leader;
     SteadyTime at{};
 };
 
-/// The supplier's view of all machines. It sends nothing.
+/// The autoscaler leader's view of all machines. It sends nothing.
 class MachineInventory {
   public:
     explicit MachineInventory(const Settings& settings) : settings_(settings) {}
@@ -56,8 +57,8 @@
     /// Whether the cloud confirmed the machine's return not long ago; its lists may still show it.
     bool was_returned(const MachineId& id) const { return returned_.contains(id); }
 
-    /// Takes over what its owner reports of a machine.
-    void record_report(const NodeName& owner, const wire::MachineStatus& beat, SteadyTime now);
+    /// Takes over what its leader reports of a machine.
+    void record_report(const NodeName& leader, const wire::MachineStatus& beat, SteadyTime now);
     /// Takes over a line of the cloud's list.
     void record_listed(const wire::ListedMachine& listed, SteadyTime now);
     /// Takes over a machine that the cloud has just rented to us.
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -15,16 +15,16 @@
 constexpr std::size_t max_considered = 50'000;  // tasks: a plan must not stall the loop
 constexpr double boot_margin_s = 0.1;           // what is rented now is counted on this long after its boot
 
-double fetch_time(const wire::JobSpec& s, const wire::MachineType& t) {
-    return s.image_gb / t.fetch_gb_per_s;
+double fetch_time(const wire::JobSpec& spec, const wire::MachineType& type) {
+    return spec.image_gb / type.fetch_gb_per_s;
 }
 
 // The slots that one demand may use, the soonest first. Looked up once for all of its tasks: a search through
 // all machines for each task took a third of a controller's share at nine hundred of them.
 class Openings {
   public:
-    Openings(std::vector<Bin>& bins, const Demand& d, const std::vector<wire::MachineType>& types)
-        : bins_(bins), demand_(d), types_(types) {
+    Openings(std::vector<Bin>& bins, const Demand& demand, const std::vector<wire::MachineType>& types)
+        : bins_(bins), demand_(demand), types_(types) {
         for (std::size_t b = 0; b < bins.size(); ++b) add_bin(b);
     }
     void add_bin(std::size_t b) {
@@ -37,19 +37,20 @@
     // Puts one task into the slot that is free first, if that is early enough.
     bool place(double patience_s) {
         while (!heap_.empty()) {
-            const Entry e = heap_.top();
-            Slot& slot = bins_[e.bin].slots[e.slot];
+            const Entry entry = heap_.top();
+            Slot& slot = bins_[entry.bin].slots[entry.slot];
             if (!slot.room.covers(demand_.spec->need)) {
                 heap_.pop();
                 continue;
             }
-            if (e.free_at > patience_s) return false;
-            Bin& bin = bins_[e.bin];
+            if (entry.free_at > patience_s) return false;
+            Bin& bin = bins_[entry.bin];
             const bool first = !std::exchange(bin.used, true);
             slot.room -= demand_.spec->need;
-            bin.slots.push_back({e.free_at + demand_.run_s + (first ? fetch_time(*demand_.spec, *e.type) : 0),
-                                 demand_.spec->need});
-            add(bin.slots.back(), e.bin, bin.slots.size() - 1, e.type);
+            bin.slots.push_back(
+                {entry.free_at + demand_.run_s + (first ? fetch_time(*demand_.spec, *entry.type) : 0),
+                 demand_.spec->need});
+            add(bin.slots.back(), entry.bin, bin.slots.size() - 1, entry.type);
             return true;
         }
         return false;
@@ -60,23 +61,26 @@
         double free_at = 0;
         std::size_t bin = 0, slot = 0;
         const wire::MachineType* type = nullptr;
-        bool operator<(const Entry& o) const {  // the top of the heap is the soonest, then the first listed
-            return std::tie(o.free_at, o.bin, o.slot) < std::tie(free_at, bin, slot);
+        // The top of the heap is the soonest, then the first listed.
+        bool operator<(const Entry& other) const {
+            return std::tie(other.free_at, other.bin, other.slot) < std::tie(free_at, bin, slot);
         }
     };
-    void add(const Slot& s, std::size_t bin, std::size_t slot, const wire::MachineType* type) {
-        if (s.room.covers(demand_.spec->need)) heap_.push({s.free_at, bin, slot, type});
+    void add(const Slot& free, std::size_t bin, std::size_t slot, const wire::MachineType* type) {
+        if (free.room.covers(demand_.spec->need)) heap_.push({free.free_at, bin, slot, type});
     }
     // Machines come in few kinds: each is judged once.
-    const wire::MachineType* usable_type(const Bin& b) {
+    const wire::MachineType* usable_type(const Bin& bin) {
         for (const auto& [like, type] : kinds_)
-            if (like->type == b.type && like->zone == b.zone && like->spot == b.spot) return type;
+            if (like->type == bin.type && like->zone == bin.zone && like->spot == bin.spot) return type;
         const wire::MachineType* found = nullptr;
-        auto t = std::find_if(types_.begin(), types_.end(), [&](const auto& o) { return o.name == b.type; });
-        if (t != types_.end() && sched::machine_allowed(*demand_.spec, demand_.pin, b.type, b.zone, b.spot) &&
-            sched::should_use_type(*demand_.spec, *t, types_))
-            found = &*t;
-        seen_.push_back({b.type, b.zone, b.spot});
+        auto known = std::find_if(types_.begin(), types_.end(),
+                                  [&](const auto& kind) { return kind.name == bin.type; });
+        if (known != types_.end() &&
+            sched::machine_allowed(*demand_.spec, demand_.pin, bin.type, bin.zone, bin.spot) &&
+            sched::should_use_type(*demand_.spec, *known, types_))
+            found = &*known;
+        seen_.push_back({bin.type, bin.zone, bin.spot});
         kinds_.emplace_back(&seen_.back(), found);
         return found;
     }
--- a/src/autoscaler/plan.h
+++ b/src/autoscaler/plan.h
@@ -15,7 +15,7 @@
 
 namespace zincdyke::autoscaler {
 
-/// Room of a machine that comes free at a moment, counted in seconds from now.
+/// Capacity of a machine that comes free at a moment, counted in seconds from now.
 struct Slot {
     double free_at = 0;
     Resources room;
--- a/src/autoscaler/preemption.cpp
+++ b/src/autoscaler/preemption.cpp
@@ -7,13 +7,13 @@
 namespace zincdyke::autoscaler {
 namespace {
 constexpr Duration clearing_memory = std::chrono::seconds(12);
-// What was there before this supplier was elected may have run for long.
+// What was there before this autoscaler leader was elected may have run for long.
 constexpr Duration unknown_run_time = std::chrono::hours(1);
 }  // namespace
 
-Preemptor::Preemptor(Env& env, const Policy& policy, const StateCache& model,
+Preemptor::Preemptor(Env& env, const Policy& policy, const StateCache& state_cache,
                      const MachineInventory& inventory, PeerChannel& peers)
-    : env_(env), policy_(policy), state_cache_(model), inventory_(inventory), peers_(peers) {}
+    : env_(env), policy_(policy), state_cache_(state_cache), inventory_(inventory), peers_(peers) {}
 
 void Preemptor::reset() {
     tracking_ = false;
@@ -100,10 +100,10 @@
     for (const auto& ref : state_cache_.tasks_on(id)) {
         const Job* job = state_cache_.job(ref.job);
         if (job != nullptr && job->spec.is_service()) continue;
-        log::info("event=preempt task={} machine={} for_class={} loss_s={:.1f}", ref.str(), id.value(),
-                  reservation.job_class, loss_s);
+        log::info("event=preemption_planned task={} machine={} for_class={} loss_s={:.1f}", ref.str(),
+                  id.value(), reservation.job_class, loss_s);
         if (report != nullptr)
-            peers_.send(report->owner,
+            peers_.send(report->leader,
                         wire::PreemptionRequest{ref.job, ref.task, state_cache_.task(ref).attempt});
     }
 }
--- a/src/autoscaler/preemption.h
+++ b/src/autoscaler/preemption.h
@@ -23,13 +23,13 @@
     Bin* bin = nullptr;
 };
 
-/// Chooses which tasks to stop, and asks their owners to.
+/// Chooses which tasks to stop, and asks their leaders to.
 class Preemptor {
   public:
-    Preemptor(Env& env, const Policy& policy, const StateCache& model, const MachineInventory& inventory,
-              PeerChannel& peers);
+    Preemptor(Env& env, const Policy& policy, const StateCache& state_cache,
+              const MachineInventory& inventory, PeerChannel& peers);
 
-    /// Forgets since when tasks are placed: this node isn't the supplier.
+    /// Forgets since when tasks are placed: this node is not the autoscaler leader.
     void reset();
     /// Notes what has been placed or has ended since the last call.
     void track_placements();
@@ -55,7 +55,7 @@
     const MachineInventory& inventory_;
     PeerChannel& peers_;
     bool tracking_ = false;
-    std::map<std::pair<TaskRef, Attempt>, SteadyTime> placed_since_;  // as this supplier saw it
+    std::map<std::pair<TaskRef, Attempt>, SteadyTime> placed_since_;  // as this leader saw it
     std::map<MachineId, SteadyTime> clearing_;                        // when it was asked
 };
 
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -66,12 +66,12 @@
     const std::string name = settings_.node.value() + "." + std::to_string(cluster_.incarnation().value()) +
                              "." + std::to_string(++last_request_);
     renting_[kind] += count;
-    log::info("event=rent request={} type={} zone={} spot={} count={}", name, kind.type, kind.zone, kind.spot,
-              count);
+    log::info("event=scale_out_requested request={} type={} zone={} spot={} count={}", name, kind.type,
+              kind.zone, kind.spot, count);
     cloud_.rent(name, kind.type, kind.zone, kind.spot, count,
                 [this, kind, count, name](CloudClient::Rent outcome, const std::vector<MachineId>& machines) {
                     on_rented(kind, count, outcome, machines);
-                    log::info("event=rented request={} outcome={} machines={}", name,
+                    log::info("event=scale_out_finished request={} outcome={} machines={}", name,
                               static_cast<int>(outcome), machines.size());
                 });
 }
@@ -103,7 +103,7 @@
     if (machines.size() > max_returned_per_call) machines.resize(max_returned_per_call);
     for (const auto& id : machines) {
         if (RentedMachine* machine = inventory_.find_rented(id)) machine->returning = true;
-        log::info("event=return machine={} reason={}", id.value(), name_of(reason));
+        log::info("event=scale_in machine={} reason={}", id.value(), name_of(reason));
     }
     cloud_.give_back(machines, [this, machines](bool confirmed) { on_give_back(machines, confirmed); });
 }
@@ -114,7 +114,7 @@
             if (RentedMachine* machine = inventory_.find_rented(id)) machine->returning = false;
         return;
     }
-    // The cloud's word that they are gone is proof for every owner.
+    // The cloud's word that they are gone is proof for every leader.
     for (const auto& node : settings_.all_nodes())
         peers_.send(node, wire::MachinesTerminatedNotification{machines});
 }
--- a/src/autoscaler/provisioner.h
+++ b/src/autoscaler/provisioner.h
@@ -1,4 +1,4 @@
-/// Renting machines from the cloud and returning them.
+/// Scaling out and in: renting machines from the cloud and returning them.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -27,7 +27,7 @@
     Provisioner(Env& env, const Settings& settings, const Policy& policy, const ClusterCoordinator& cluster,
                 CloudClient& cloud, MachineInventory& inventory, PeerChannel& peers);
 
-    /// Forgets the rentals under way: this node has just become the supplier.
+    /// Forgets the rentals under way: this node has just become the autoscaler leader.
     void reset() { renting_.clear(); }
     /// Machines asked for, by kind, while the cloud has not answered.
     const std::map<MachineKind, std::uint32_t>& renting() const { return renting_; }
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -8,14 +8,14 @@
 namespace zincdyke::autoscaler {
 
 ReservationPlanner::ReservationPlanner(Env& env, const Settings& settings, const Policy& policy,
-                                       const StateCache& model, const MachineInventory& inventory,
+                                       const StateCache& state_cache, const MachineInventory& inventory,
                                        PeerChannel& peers)
     : env_(env),
       settings_(settings),
       policy_(policy),
-      state_cache_(model),
+      state_cache_(state_cache),
       peers_(peers),
-      preemptor_(env, policy, model, inventory, peers) {}
+      preemptor_(env, policy, state_cache, inventory, peers) {}
 
 void ReservationPlanner::update(PlanInput& plan) {
     const WallTime now = env_.wall();
@@ -42,15 +42,15 @@
 }
 
 void ReservationPlanner::announce() const {
-    std::map<NodeName, std::vector<wire::ReservedMachine>> by_owner;
-    for (const auto& node : settings_.all_nodes()) by_owner[node];
+    std::map<NodeName, std::vector<wire::ReservedMachine>> by_leader;
+    for (const auto& node : settings_.all_nodes()) by_leader[node];
     for (const auto& [id, reservation] : reserved_) {
-        auto owner = by_owner.find(state_cache_.shards()[state_cache_.shard_of(id)].leader);
-        if (owner == by_owner.end()) continue;
-        owner->second.push_back({id, reservation.job_class, reservation.rank,
-                                 static_cast<std::uint32_t>(reservation.save_s * 1000), reservation.job});
+        auto leader = by_leader.find(state_cache_.shards()[state_cache_.shard_of(id)].leader);
+        if (leader == by_leader.end()) continue;
+        leader->second.push_back({id, reservation.job_class, reservation.rank,
+                                  static_cast<std::uint32_t>(reservation.save_s * 1000), reservation.job});
     }
-    for (auto& [node, machines] : by_owner) {
+    for (auto& [node, machines] : by_leader) {
         wire::ReservationUpdate message;
         for (auto& machine : machines) {
             message.machines.push_back(std::move(machine));
--- a/src/autoscaler/reservations.h
+++ b/src/autoscaler/reservations.h
@@ -17,17 +17,17 @@
 
 namespace zincdyke::autoscaler {
 
-/// Chooses anew at each plan which machines are reserved, and tells their owners.
+/// Chooses anew at each plan which machines are reserved, and tells their leaders.
 class ReservationPlanner {
   public:
-    ReservationPlanner(Env& env, const Settings& settings, const Policy& policy, const StateCache& model,
-                       const MachineInventory& inventory, PeerChannel& peers);
+    ReservationPlanner(Env& env, const Settings& settings, const Policy& policy,
+                       const StateCache& state_cache, const MachineInventory& inventory, PeerChannel& peers);
 
-    /// This node isn't the supplier.
+    /// This node is not the autoscaler leader.
     void reset() { preemptor_.reset(); }
     /// Reserves machines among the plan's bins, and adds the demand for machines that have to stand ready.
     void update(PlanInput& plan);
-    /// Tells each owner which of its machines are reserved.
+    /// Tells each leader which of its machines are reserved.
     void announce() const;
 
   private:
--- a/src/loop/peers.cpp
+++ b/src/loop/peers.cpp
@@ -135,7 +135,7 @@
         for (std::size_t i = wire::peer_header_bytes; i-- > 0;)
             length = (length << 8) | static_cast<unsigned char>(in->buffer[at + i]);
         if (length > wire::max_peer_frame) {
-            log::warn("event=peer_message_refused from={} reason=oversized bytes={}", in->from.value(),
+            log::warn("event=peer_message_rejected from={} reason=oversized bytes={}", in->from.value(),
                       length);
             return close(in);
         }
@@ -145,7 +145,7 @@
         const auto* hello = m ? std::get_if<wire::Hello>(&*m) : nullptr;
         const bool known = hello != nullptr && out_.contains(hello->node);
         if (!m || (in->from.empty() && !known)) {
-            log::warn("event=peer_message_refused from={} reason=undecodable bytes={}", in->from.value(),
+            log::warn("event=peer_message_rejected from={} reason=undecodable bytes={}", in->from.value(),
                       length);
             return close(in);
         }
--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -249,7 +249,7 @@
 }
 
 std::string encode_commands(FencingToken token, const std::vector<Command>& orders,
-                            std::optional<std::uint64_t> session) {
+                            std::optional<std::uint64_t> agent_epoch) {
     Json list = Json::array();
     for (const auto& o : orders) {
         Json e = {
@@ -258,12 +258,12 @@
         list.push_back(std::move(e));
     }
     Json j = {{"baton", token.value()}, {"orders", std::move(list)}};
-    if (session) j["tenure"] = *session;
+    if (agent_epoch) j["tenure"] = *agent_epoch;
     return j.dump();
 }
 
-std::string encode_redirect(const std::optional<NodeName>& owner) {
-    return owner ? Json{{"foreman", owner->value()}}.dump() : "{}";
+std::string encode_redirect(const std::optional<NodeName>& leader) {
+    return leader ? Json{{"foreman", leader->value()}}.dump() : "{}";
 }
 
 std::optional<std::vector<MachineType>> parse_types(std::string_view body) { return guarded(body, types_of); }
