--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -33,7 +33,7 @@
     if (limit.rlim_cur >= wanted) return;
     const rlim_t available = limit.rlim_cur - std::min(limit.rlim_cur, reserved_files);
     const auto max_sockets = static_cast<std::uint32_t>(std::max(min_sockets, available));
-    zincdyke::log::warn("event=open_file_limit_low open_files={} max_sockets={} used={}", limit.rlim_cur,
+    zincdyke::log::warn("event=file_limit_low open_files={} max_sockets={} used={}", limit.rlim_cur,
                         settings.max_sockets, max_sockets);
     settings.max_sockets = std::min(settings.max_sockets, max_sockets);
 }
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -243,8 +243,8 @@
     request.round = {settings_.node, cluster_.incarnation().value() * rounds_per_incarnation + ++last_round_};
     request.job = job.spec.id;
     // By the round's number too: a round that fails is asked again through another gatherer.
-    request.gatherer = pick_by_hash(
-        job.spec.id.value() + "#" + std::to_string(request.round.number), scorers);
+    request.gatherer =
+        pick_by_hash(job.spec.id.value() + "#" + std::to_string(request.round.number), scorers);
     request.scorers = static_cast<std::uint8_t>(std::min(scorers.size(), max_scorers));
     request.need = job.spec.need;
     request.image = job.spec.image;
