--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "cluster/autoscaler_election.h"
+#include "cluster/job_roles.h"
 #include "cluster/membership.h"
 #include "cluster/pending_reads.h"
 #include "cluster/rendezvous_hash.h"
@@ -13,6 +14,7 @@
 #include "cluster/shard_leadership.h"
 #include "cluster/state_watcher.h"
 #include "cluster/view_state.h"
+#include "cluster/write_budget_share.h"
 #include "fake_state_observer.h"
 #include "manual_env.h"
 
@@ -324,5 +326,54 @@
     EXPECT_TRUE(election.is_won());
 }
 
+// Of 100 writes a second 95 are shared out, and one is kept for submissions and sessions.
+TEST_F(ClusterUnit, WritesAreSharedByDemand) {
+    const NodeName peer("n1");
+    put_session("n0", 1);
+    put_session("n1", 2);
+    WriteBudgetShare share(settings, store, state_cache, membership);
+    share.on_membership_changed();
+    EXPECT_EQ(store.available_writes(), 46U);  // a half
+    share.update(30, {{peer, 10}});
+    env.run_for(seconds(1));
+    EXPECT_EQ(store.available_writes(), 58U);  // half of a half, and three quarters of the other
+    share.on_membership_changed();
+    EXPECT_EQ(store.available_writes(), 58U);
+    share.update(30, {});  // a silent peer counts as an average one
+    EXPECT_EQ(store.available_writes(), 46U);
+    share.update(0, {{peer, 20}});
+    EXPECT_EQ(store.available_writes(), 22U);
+    share.update(0, {{peer, 0}});
+    env.run_for(seconds(1));
+    EXPECT_EQ(store.available_writes(), 46U);
+}
+
+TEST_F(ClusterUnit, JobRolesPassToLiveControllers) {
+    Settings limited = settings;
+    for (const char* name : {"a", "b"}) limited.teams[TeamName(name)] = Team{TeamName(name), 0, 1000, 0, 0};
+    limited.teams[TeamName("c")] = Team{TeamName("c"), 0, 0, 0, 0};
+    StateCache cache(limited, state_observer);
+    const Membership members(limited, cache);
+    const JobRoles roles(limited, cache, members);
+    Job job;
+    job.spec.id = JobId("job-1");
+    job.spec.team = TeamName("c");
+    job.relay = NodeName("n1");
+    EXPECT_EQ(roles.relay_of(job), NodeName("n1"));  // nobody else is known
+    cache.apply({keys::node(NodeName("n0")), Json::object(), Revision{1}});
+    EXPECT_EQ(roles.relay_of(job), NodeName("n0"));
+    EXPECT_EQ(roles.committer_of(job), NodeName("n0"));
+    cache.apply({keys::node(NodeName("n1")), Json::object(), Revision{2}});
+    EXPECT_EQ(roles.relay_of(job), NodeName("n1"));
+    EXPECT_EQ(roles.committer_of(job), NodeName("n1"));
+    // Teams with limits are dealt out in turn, whoever relays.
+    job.spec.team = TeamName("a");
+    EXPECT_EQ(roles.committer_of(job), NodeName("n0"));
+    job.spec.team = TeamName("b");
+    EXPECT_EQ(roles.committer_of(job), NodeName("n1"));
+    cache.apply({keys::node(NodeName("n1")), std::nullopt, Revision{3}});
+    EXPECT_EQ(roles.committer_of(job), NodeName("n0"));
+}
+
 }  // namespace
 }  // namespace zincdyke::testing
