--- a/src/workers/capacity_tracker.h
+++ b/src/workers/capacity_tracker.h
@@ -34,13 +34,16 @@
     /// Reserves `each` once for every offer of the round, until `release` or 2.5 s have passed.
     void reserve(const wire::RoundId& round, const Resources& each,
                  const std::vector<wire::PlacementOffer>& offers);
+    /// The round is decided: releases what it reserved.
     void release(const wire::RoundId& round);
     /// Periodic: releases what no decision came for.
     void expire_reservations();
 
     /// Reserves capacity for a start until it is committed or rejected.
     void reserve_start(const TaskRef& task, const MachineId& id, const Resources& need);
+    /// Releases what `reserve_start` reserved.
     void release_start(const TaskRef& task);
+    /// Whether a start of the task waits to be committed here.
     [[nodiscard]] bool is_starting(const TaskRef& task) const { return starting_.contains(task); }
 
     /// How often free capacity was computed, not taken from the cache.
--- a/src/workers/heartbeat_handler.h
+++ b/src/workers/heartbeat_handler.h
@@ -36,6 +36,7 @@
     /// heartbeat.
     void deliver_start(const MachineId& id);
 
+    /// Since the process began; `heartbeats` includes the stale ones.
     struct Counts {
         std::uint64_t heartbeats = 0, stale_heartbeats = 0, leases_not_renewed = 0;
     };
--- a/src/workers/leadership_announcer.h
+++ b/src/workers/leadership_announcer.h
@@ -22,8 +22,11 @@
     LeadershipAnnouncer(Env& env, const StateCache& state_cache, const ClusterCoordinator& cluster,
                         MachineRegistry& registry);
 
+    /// Addresses of the peer's machines.
     void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
+    /// Addresses from the cloud's list.
     void on_machines_discovered(const wire::MachinesDiscoveredNotification& notification);
+    /// The machine is gone: nothing more is sent to its address.
     void on_machine_terminated(const MachineId& id);
     /// The shard's machines are to be told anew, without a pause.
     void restart(std::uint32_t shard);
--- a/src/workers/machine_availability.h
+++ b/src/workers/machine_availability.h
@@ -27,6 +27,7 @@
     void on_drain_request(const NodeName& from, const wire::DrainRequest& request);
     /// Periodic: a machine that was not terminated within 20 s of its drain takes tasks again.
     void expire_drains();
+    /// Drops what is kept for the machine.
     void on_machine_removed(const MachineId& id) { drains_.erase(id); }
 
   private:
--- a/src/workers/machine_cordons.h
+++ b/src/workers/machine_cordons.h
@@ -21,6 +21,7 @@
     void on_task_completed(const MachineId& id);
     /// Cordons the machine for at least this long from now.
     void cordon(const MachineId& id, Duration duration);
+    /// Drops what is kept for the machine.
     void on_machine_removed(const MachineId& id) { machines_.erase(id); }
 
     [[nodiscard]] bool is_cordoned(const MachineId& id) const;
--- a/src/workers/machine_registry.h
+++ b/src/workers/machine_registry.h
@@ -43,6 +43,7 @@
     MachineRemovalObserver(const MachineRemovalObserver&) = delete;
     MachineRemovalObserver& operator=(const MachineRemovalObserver&) = delete;
     virtual ~MachineRemovalObserver() = default;
+    /// Called while the machine is removed; the registry must not be changed from within.
     virtual void on_machine_removed(const MachineId& id) = 0;
 };
 
@@ -56,10 +57,13 @@
     /// Null where the machine is unknown.
     [[nodiscard]] Machine* find(const MachineId& id);
     [[nodiscard]] const Machine* find(const MachineId& id) const;
+    /// Whether the machine is known.
     [[nodiscard]] bool contains(const MachineId& id) const { return machines_.contains(id); }
     /// Whether the machine is known or may still be added.
     [[nodiscard]] bool can_hold(const MachineId& id) const;
+    /// A machine that is new here counts as known from now.
     Machine& find_or_add(const MachineId& id);
+    /// Nothing happens where the machine is unknown.
     void remove(const MachineId& id);
     /// Removes those for which `should_remove(id, machine)` holds.
     template <class Predicate>
@@ -76,6 +80,7 @@
     void mark_terminated(const MachineId& id);
     [[nodiscard]] bool is_terminated(const MachineId& id) const { return terminated_.contains(id); }
 
+    /// More than the largest deployment has; beyond it heartbeats of new machines are answered 503.
     static constexpr std::size_t max_machines = 20'000;
 
   private:
--- a/src/workers/machine_status_reporter.h
+++ b/src/workers/machine_status_reporter.h
@@ -23,6 +23,7 @@
 
     /// For the next peer heartbeat. Empty while this node's view of the shards may be out of date.
     [[nodiscard]] std::vector<wire::MachineStatus> statuses();
+    /// Drops what is kept for the machine.
     void on_machine_removed(const MachineId& id) { idle_since_.erase(id); }
 
   private:
--- a/src/workers/placement_scorer.h
+++ b/src/workers/placement_scorer.h
@@ -49,8 +49,10 @@
     /// Commits the starts of the accepted offers that still fit; tasks that cannot start go back to the
     /// relay.
     void on_placement_decision(const wire::PlacementDecision& decision);
+    /// Drops what is kept for the machine.
     void on_machine_removed(const MachineId& id) { deferred_since_.erase(id); }
 
+    /// Since the process began.
     struct Counts {
         std::uint64_t placement_requests = 0, offers = 0;
     };
--- a/src/workers/reserved_machines.h
+++ b/src/workers/reserved_machines.h
@@ -14,6 +14,7 @@
   public:
     explicit ReservedMachines(Env& env) : env_(env) {}
 
+    /// Replaces all reservations, with the messages of the same update that follow.
     void on_update(const wire::ReservationUpdate& update);
     /// The machine is reserved, and tasks of this job may not use it meanwhile.
     [[nodiscard]] bool is_reserved_from(const MachineId& id, const wire::JobSpec& job) const;
--- a/src/workers/start_tracker.h
+++ b/src/workers/start_tracker.h
@@ -33,6 +33,7 @@
                      const Job& job);
     /// Drops attempts that are over, once there are many.
     void prune(const MachineId& id);
+    /// Drops what is kept for the machine.
     void on_machine_removed(const MachineId& id) { machines_.erase(id); }
 
     /// Null: the start was neither sent nor observed. Valid until the next change.
