--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -26,7 +26,7 @@
     expect_no_violations(deployment);
 }
 
-// A autoscaler leader back from a cut must not act on what it knew before: it took the machines that it had
+// An autoscaler leader back from a cut must not act on what it knew before: it took the machines that it had
 // not heard for so long, and that others had taken over, for silent ones and returned them with all that ran
 // there.
 TEST(Autoscaling, LeaderBackFromPartitionReturnsNoMachineInUse) {
@@ -54,7 +54,7 @@
     }
 }
 
-// A autoscaler leader that has just started hears of machines by the cloud's list first: those that run are
+// An autoscaler leader that has just started hears of machines by the cloud's list first: those that run are
 // not slow to boot, however old they are.
 TEST(Autoscaling, RestartedLeaderReturnsNoMachineInUse) {
     SimulatedDeployment deployment;
@@ -76,7 +76,7 @@
     expect_no_violations(deployment);
 }
 
-// A autoscaler leader that stood still for longer than its lease knows nothing of the time since: by its old
+// An autoscaler leader that stood still for longer than its lease knows nothing of the time since: by its old
 // view, all that others had taken over was silent, and it returned machines in use.
 TEST(Autoscaling, FrozenLeaderReturnsNoMachineInUse) {
     SimulatedDeployment deployment;
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -46,7 +46,7 @@
     expect_no_violations(deployment);
 }
 
-// Left with one worker alone, a leader must not order what it committed before: the job may be cancelled by
+// Left with one worker alone, a leader must not start what it committed before: the job may be cancelled by
 // now, and it would never hear of it.
 TEST(Cancellation, LeaderWithoutStoreDoesNotStartTaskOfCancelledJob) {
     DeploymentOptions o;
@@ -57,24 +57,24 @@
     ASSERT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 40));
     ASSERT_EQ(deployment.workers.all().size(), 1U);
     const std::string machine = deployment.workers.all().begin()->first;
-    int owner = 0;
-    while (!deployment.controller(owner).cluster().leader_term(zincdyke::MachineId(machine))) ++owner;
-    // A start is committed, and its order has not reached the machine.
+    int leader = 0;
+    while (!deployment.controller(leader).cluster().leader_term(zincdyke::MachineId(machine))) ++leader;
+    // A start is committed, and its command has not reached the machine.
     for (int n = 0; n < 3; ++n) deployment.set_link(machine, deployment.controller_name(n), LinkState::drop);
     const std::string job = job_id(2);
-    deployment.submit(deployment.job(job, 1, 1, 300), owner);
+    deployment.submit(deployment.job(job, 1, 1, 300), leader);
     ASSERT_TRUE(deployment.run_until([&] { return deployment.store.placed_tasks(machine) == 1; }, 2));
     for (int n = 0; n < 3; ++n)
-        if (n != owner)
-            deployment.set_link(deployment.controller_name(owner), deployment.controller_name(n),
+        if (n != leader)
+            deployment.set_link(deployment.controller_name(leader), deployment.controller_name(n),
                                 LinkState::drop);
-    deployment.set_link(deployment.controller_name(owner), "state", LinkState::drop);
-    deployment.cancel(job, (owner + 1) % 3);
+    deployment.set_link(deployment.controller_name(leader), "state", LinkState::drop);
+    deployment.cancel(job, (leader + 1) % 3);
     ASSERT_TRUE(deployment.run_until([&] { return deployment.last_phase(job) == "withdrawn"; }, 4));
     deployment.run(3);
-    deployment.set_link(machine, deployment.controller_name(owner), LinkState::up);
+    deployment.set_link(machine, deployment.controller_name(leader), LinkState::up);
     FakeWorker& m = deployment.workers.all().at(machine);
-    m.controller = static_cast<std::size_t>(owner);  // its next try, still within its lease
+    m.controller = static_cast<std::size_t>(leader);  // its next try, still within its lease
     m.heartbeat_in_flight = 0;
     m.next_heartbeat = deployment.now();
     for (int i = 0; i < 40; ++i) {
@@ -111,8 +111,8 @@
 }
 
 // Jobs are cancelled in the seconds in which one controller's work changes hands, because it ends or because
-// it hears no worker any more: tasks are gone in time, and none of them starts once the commands under way
-// are through.
+// no heartbeat reaches it any more: tasks are gone in time, and none of them starts once the commands under
+// way are through.
 TEST(Cancellation, TasksStopInTimeWhileAShardChangesItsLeader) {
     for (int moment = 0; moment < 12; ++moment)
         for (const bool ends : {true, false}) {
@@ -144,7 +144,7 @@
                            deployment.last_phase(starts) == "withdrawn";
                 },
                 15));
-            // The others' machines are told at once, not with their next report.
+            // The others' machines are told at once, not with their next heartbeat.
             deployment.run(0.4);
             EXPECT_EQ(tasks_on_machines(deployment, of_others, {runs, starts}), 0) << moment << " " << ends;
             EXPECT_TRUE(deployment.run_until(
@@ -241,7 +241,7 @@
     s.finish();
 }
 
-// Its peers' beats of before come after a minute: they tell nothing of the time in which they were held.
+// Its peers' heartbeats of before come after a minute: they tell nothing of the time in which they were held.
 TEST_P(CancellationWithoutStore, TasksStopInTimeWhenPeerHeartbeatsAreLate) {
     CancellationFixture s(GetParam());
     s.cut_from_peers(LinkState::hold);
@@ -249,8 +249,8 @@
     s.confirmed_elsewhere();
     s.deployment.store.outage = true;
     s.deployment.store.rejected_clients.clear();
-    // What was held arrives, and is held again at once: beats of before the confirmation among it, none of
-    // after.
+    // What was held arrives, and is held again at once: heartbeats of before the confirmation among it, none
+    // of after.
     for (int i = 0; i < 12; ++i) {
         s.deployment.run(3);
         s.cut_from_peers(LinkState::up);
@@ -264,7 +264,7 @@
 }
 
 // Whoever confirmed it ends before anybody else has heard of it, and is back, knowing nothing of it: it must
-// not vouch for what it told in its life before.
+// not acknowledge what its previous process answered.
 TEST_P(CancellationWithoutStore, TasksStopInTimeWhenTheConfirmingControllerCrashes) {
     for (const double back : {0.2, 20.0}) {
         CancellationFixture s(GetParam());
@@ -321,9 +321,9 @@
     s.finish();
 }
 
-// What the rule costs: where a controller ended in the outage, nobody vouches for what it told before. Leases
-// are renewed until the slack is used up and then run out, all of them, and what they held starts anew after
-// the outage.
+// What the rule costs: where a controller ended in the outage, nobody acknowledges what it answered before.
+// Leases are renewed until the slack is used up and then run out, all of them, and what they held starts anew
+// after the outage.
 TEST_P(CancellationWithoutStore, LeasesExpireWithoutCancellationAcks) {
     CancellationFixture s(GetParam());
     SimulatedDeployment& deployment = s.deployment;
@@ -371,7 +371,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CancellationWithoutStore, ::testing::Values(1, 2, 3));
 
-// A confirmed cancellation is stopped at once, not with the next heartbeat: nothing of it starts any more.
+// A confirmed cancellation is stopped at once, not with the next heartbeat: none of its tasks starts any
+// more.
 TEST(Cancellation, TasksAreStoppedWithoutWaitingForAHeartbeat) {
     DeploymentOptions o;
     o.heartbeat_interval_s = 10;
--- a/tests/deployment_helpers.h
+++ b/tests/deployment_helpers.h
@@ -32,7 +32,7 @@
             for (const auto& id : ids)
                 if (deployment.last_phase(id) != "done" && deployment.last_phase(id) != "withdrawn")
                     ADD_FAILURE() << id << " accepted " << deployment.is_accepted(id) << " told '"
-                                  << deployment.last_phase(id) << "' state service: "
+                                  << deployment.last_phase(id) << "' store: "
                                   << (deployment.store.data.contains("z/j/" + id)
                                           ? deployment.store.data["z/j/" + id].value.dump()
                                           : "-")
@@ -75,7 +75,7 @@
     return ids;
 }
 
-/// After the troubles: all is told its end, in time, no room stood idle, and every rule held.
+/// After the faults: all is told its end, in time, no capacity stood idle, and every rule held.
 inline void expect_recovery(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
                             double most = 200) {
     deployment.checker.troubles_over = deployment.now();
--- a/tests/history_checker_test.cpp
+++ b/tests/history_checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker must be able to fail: each rule's violation, planted, is found.
+// The checker must be able to fail: it detects a violation of each rule.
 #include "fakes/history_checker.h"
 
 #include <gtest/gtest.h>
@@ -131,7 +131,7 @@
     EXPECT_TRUE(found("nothing_ran"));
 }
 
-// The world itself notices a job that waits beside capacity: here because no controller is left to start it.
+// The monitor detects a job that waits beside free capacity: here because no controller is left to start it.
 TEST(WaitingJobMonitor, DetectsJobThatWaitsBesideFreeCapacity) {
     SimulatedDeployment deployment;
     deployment.run(3);
--- a/tests/jobs_api_test.cpp
+++ b/tests/jobs_api_test.cpp
@@ -61,7 +61,7 @@
     const Json good = deployment.job(job_id(1), 2);
     std::vector<std::pair<std::string, Json>> bad;
     for (const auto& [key, value] : good.items()) {
-        if (key == "real_s") continue;  // the world's own
+        if (key == "real_s") continue;  // for the fake workers alone
         Json null = good, typed = good;
         null[key] = nullptr;
         typed[key] = Json::array();
@@ -118,7 +118,7 @@
         EXPECT_GT(reads.answered, 2000);
         EXPECT_LT(reads.deferred, reads.answered / 4) << seed;
         EXPECT_LT(reads.longest_lag, 3) << seed;
-        // Each was told its end by the looks alone.
+        // Each was told its end by these reads alone.
         for (const auto& id : ids)
             EXPECT_TRUE(reads.newest(id) == "done" || reads.newest(id) == "withdrawn") << id;
         expect_recovery(deployment, ids, 20);
@@ -130,7 +130,7 @@
     SimulatedDeployment& deployment;
     std::vector<Json> never, lacking, unfinished;
     std::map<int, int> seen;  // answers by status
-    explicit UnusualRequests(SimulatedDeployment& world) : deployment(world) {
+    explicit UnusualRequests(SimulatedDeployment& simulated) : deployment(simulated) {
         Json j = deployment.job(job_id(900), 2);
         j["crew"] = "nobody";
         never.push_back(j);
--- a/tests/leases_and_failover_test.cpp
+++ b/tests/leases_and_failover_test.cpp
@@ -154,7 +154,7 @@
 // A heartbeat held on its way arrives after the lease that it belongs to expired: nothing is placed on its
 // dead machine.
 TEST(Leases, LateHeartbeatDoesNotReviveCrashedMachine) {
-    for (int owner = 0; owner < 3; ++owner) {
+    for (int leader = 0; leader < 3; ++leader) {
         SimulatedDeployment deployment;
         deployment.run(3);
         // Not all machines are full: a copy that revived one would bring new tasks to it.
@@ -163,12 +163,12 @@
             deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 9; }, 60));
         std::vector<std::string> dead;
         for (auto& [id, m] : deployment.workers.all()) {
-            deployment.set_link(id, deployment.controller_name(owner), LinkState::hold);
+            deployment.set_link(id, deployment.controller_name(leader), LinkState::hold);
             dead.push_back(id);
         }
         deployment.run(3);
         for (const auto& id : dead)
-            if (deployment.workers.all().at(id).controller == static_cast<std::size_t>(owner))
+            if (deployment.workers.all().at(id).controller == static_cast<std::size_t>(leader))
                 deployment.workers.crash(id);
         deployment.run(14);
         std::set<std::string> gone;
@@ -178,7 +178,8 @@
         // There is work that waits for a machine.
         deployment.submit(deployment.job(job_id(2), 60, 1, 30));
         deployment.run(0.3);
-        for (const auto& id : dead) deployment.set_link(id, deployment.controller_name(owner), LinkState::up);
+        for (const auto& id : dead)
+            deployment.set_link(id, deployment.controller_name(leader), LinkState::up);
         for (int i = 0; i < 30; ++i) {
             deployment.run(0.5);
             for (const auto& id : gone) EXPECT_EQ(deployment.store.placed_tasks(id), 0) << id;
@@ -214,7 +215,7 @@
     expect_no_violations(deployment);
 }
 
-// Duplicates of old reports to controllers that took over, restarted or saw the lease expire: none of them
+// Duplicates of old heartbeats to controllers that took over, restarted or saw the lease expire: none of them
 // proves anything, so that nothing is started twice and nothing that runs is given up.
 TEST(Leases, DuplicateHeartbeatsAreNoEvidenceAfterFailover) {
     SimulatedDeployment deployment;
@@ -250,7 +251,7 @@
             o.controllers = 5;
             SimulatedDeployment deployment(o);
             deployment.run(3);
-            // Two go; one comes back, so that the hash now names another controller for the part of the
+            // Two go; one comes back, so that the hash now names another controller for the shard of the
             // first.
             deployment.crash_controller(away);
             deployment.crash_controller(second);
@@ -264,16 +265,16 @@
                 if (n != away) deployment.start_controller(n);
             deployment.run(4);
             for (std::uint32_t part = 0; part < 5; ++part) {
-                int owners = 0;
+                int leaders = 0;
                 for (int n = 0; n < 5; ++n)
-                    owners += n != away && deployment.controller(n).cluster().term(part) ? 1 : 0;
-                EXPECT_EQ(owners, 1) << "part " << part << " away " << away << " second " << second;
+                    leaders += n != away && deployment.controller(n).cluster().term(part) ? 1 : 0;
+                EXPECT_EQ(leaders, 1) << "part " << part << " away " << away << " second " << second;
             }
         }
 }
 
 // What a controller sent before its end arrives after its return: its record must not go with the lease of
-// before.
+// the previous process.
 TEST(Failover, HeldMessagesOfThePreviousProcessDoNotEndItsSession) {
     for (int moment = 0; moment < 24; ++moment) {
         SimulatedDeployment deployment;
@@ -294,8 +295,8 @@
     }
 }
 
-// The record that the life before wrote comes once more, after the new one's: it ends with the old lease,
-// while the controller is up and holds its own.
+// The record that the previous process wrote comes once more, after the new one's: it ends with the old
+// lease, while the controller is up and holds its own.
 TEST(Failover, SessionRecordOnThePreviousLeaseIsWrittenAgain) {
     SimulatedDeployment deployment;
     deployment.run(3);
@@ -338,8 +339,8 @@
     }
 }
 
-// Machines hang with commands on their way and go on, within their lease and beyond, while leaders change and
-// back.
+// Machines hang with commands on their way and go on, within their lease and beyond, while leaders change
+// and change back.
 TEST(Failover, CommandsHeldByHungMachinesAreSafeAcrossLeaderChanges) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         SimulatedDeployment deployment(options_with_seed(seed));
@@ -448,7 +449,7 @@
     }
 }
 
-// A controller hands its shard over, because it hears no worker, and takes it back; then all end, and one
+// A controller transfers its shard, because no heartbeat reaches it, and reclaims it; then all end, and one
 // alone returns within a second: no running task is lost, and the one serves all.
 TEST(Failover, OneControllerServesAllAfterTransferReclaimAndCrashOfAll) {
     for (int back = 0; back < 3; ++back)
--- a/tests/partitions_test.cpp
+++ b/tests/partitions_test.cpp
@@ -75,7 +75,8 @@
     expect_no_violations(deployment);
 }
 
-// Deaf from its first report on: it is told to run a task at most twice before the task goes elsewhere.
+// Receives nothing from its first heartbeat on: it is told to run a task at most twice before the task goes
+// elsewhere.
 TEST(Partitions, MachineThatReceivesNothingFromItsBootGetsNoTasks) {
     SimulatedDeployment deployment;
     deployment.run(3);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -78,7 +78,7 @@
     expect_no_violations(deployment);
 }
 
-// Small work that never ends to come: a large array and a gang of four begin all the same, and are done.
+// Under small jobs that never cease, a large array and a gang of four start all the same, and finish.
 TEST(Placement, LargeJobsStartUnderALastingBurstOfSmallOnes) {
     DeploymentOptions o;
     o.cloud_capacity = 8;
--- a/tests/quotas_test.cpp
+++ b/tests/quotas_test.cpp
@@ -64,7 +64,7 @@
 }
 
 // Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and leaders and
-// autoscaler leader change: the limits hold, what waited follows, and no capacity of a team is lost.
+// the autoscaler leader change: the limits hold, what waited follows, and no capacity of a team is lost.
 TEST(Quotas, LimitsOfAllTeamsHoldUnderPartitionsAndLeaderChanges) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         DeploymentOptions o = options_with_seed(seed);
@@ -107,7 +107,7 @@
         deployment.run(4);
         deployment.start_controller(0);
         deployment.start_controller(1);
-        // Room of tasks whose machines answer, or whose leases are over, is used again, the cut still
+        // Capacity of tasks whose machines answer, or whose leases are over, is used again, the cut still
         // lasting.
         EXPECT_TRUE(deployment.run_until(
             [&] {
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -14,8 +14,8 @@
 namespace zincdyke::testing {
 namespace {
 
-// Anything may happen at any time, several things at once: the rules hold, and once it is over all work gets
-// done.
+// Faults of all kinds at any time, several at once: the guarantees hold, and once they are over all jobs
+// finish.
 class RandomFaults : public ::testing::TestWithParam<std::uint64_t> {};
 TEST_P(RandomFaults, GuaranteesHold) {
     DeploymentOptions o;
@@ -291,7 +291,7 @@
             deployment.run(3);
         }
     }
-    // The last copy of a heartbeat comes 40 s after it.
+    // The last duplicate of a heartbeat comes 40 s after it.
     deployment.run(50);
     expect_recovery(deployment, ids, 300);
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the whole fleet: many times as many machines, and what befalls hundreds of them at once.
+// Scale: many times as many machines, and faults of hundreds of them at once.
 #include <gtest/gtest.h>
 
 #include "deployment_helpers.h"
@@ -6,14 +6,14 @@
 namespace zincdyke::testing {
 namespace {
 
-// Under sanitizers a smaller twin is played, of a quarter of the machines.
+// Under sanitizers a smaller deployment is tested, of a quarter of the machines.
 #if defined(__SANITIZE_ADDRESS__)
 constexpr int shrink = 4;
 #else
 constexpr int shrink = 1;
 #endif
 
-// Budgets, leases and limits as a fleet of that size has them.
+// Rate limits, leases and settings as a fleet of that size has them.
 DeploymentOptions fleet_options(int nodes, int machines, std::uint64_t seed = 1) {
     DeploymentOptions o;
     o.seed = seed;
@@ -34,12 +34,12 @@
     return o;
 }
 
-struct FleetStory {
+struct FleetFixture {
     SimulatedDeployment deployment;
     int machines;
     std::vector<std::string> ids;
     int next = 1;
-    explicit FleetStory(const DeploymentOptions& o, int count) : deployment(o), machines(count) {
+    explicit FleetFixture(const DeploymentOptions& o, int count) : deployment(o), machines(count) {
         for (int i = 0; i < machines; ++i)
             deployment.workers.add("small", "a", false, 1 + 4 * deployment.chance());
     }
@@ -100,7 +100,7 @@
 // All controllers crash and are back within a fraction of a second, twice, and every worker comes to the same
 // one of them.
 void all_back_at_once(int nodes, int machines) {
-    FleetStory s(fleet_options(nodes, machines), machines);
+    FleetFixture s(fleet_options(nodes, machines), machines);
     SimulatedDeployment& deployment = s.deployment;
     deployment.run(8);
     s.submit(machines * 9 / 10, 90);
@@ -136,10 +136,10 @@
 TEST(Scale, RunningTasksSurviveQuickRestartOfThreeControllers) { all_back_at_once(3, 1400 / shrink); }
 
 // Four times as many short tasks as the machines can do: what waits must not cost more than what runs.
-// Counted, not timed: how often a machine's room is worked out for the asks.
+// Counted, not timed: how often a machine's capacity is computed for the placement requests.
 TEST(Scale, BurstOfShortTasksNeedsFewCapacityComputations) {
     const int machines = 400 / shrink;
-    FleetStory s(fleet_options(7, machines), machines);
+    FleetFixture s(fleet_options(7, machines), machines);
     SimulatedDeployment& deployment = s.deployment;
     deployment.run(8);
     for (int i = 0; i < 30; ++i) {
@@ -154,7 +154,7 @@
         placement_requests += status["workers"]["asks"].get<std::uint64_t>();
         looks += status["workers"]["rooms"].get<std::uint64_t>();
     }
-    // Without the memory of it: once for each of an owner's machines in each ask.
+    // Without the cache: once for each of a leader's machines in each placement request.
     EXPECT_GT(placement_requests, 500U);
     EXPECT_LT(looks, placement_requests * static_cast<std::uint64_t>(machines) / 7 / 4);
     s.expect_no_violations();
@@ -165,7 +165,7 @@
 // and nothing runs twice.
 void third_cut(bool hang) {
     const int machines = 300 / shrink;
-    FleetStory s(fleet_options(3, machines), machines);
+    FleetFixture s(fleet_options(3, machines), machines);
     SimulatedDeployment& deployment = s.deployment;
     deployment.run(8);
     s.submit(machines * 6 / 10, 150);
@@ -193,7 +193,7 @@
     s.submit(machines / 20, 20);
     EXPECT_TRUE(
         deployment.run_until([&] { return deployment.checker.starts >= starts + machines / 20; }, 45));
-    // Lost with the cut machines, at most their share; started again once their leases lapsed.
+    // Lost with the cut machines, at most their share; started again once their leases expired.
     EXPECT_TRUE(s.all_done(330));
     EXPECT_LE(deployment.checker.starts, starts + machines / 20 + machines / 3);
     s.expect_bounds();
@@ -203,10 +203,10 @@
 TEST(Scale, HangOfAThirdOfTheMachinesIsSafe) { third_cut(true); }
 
 // One controller loses the workers and nothing else, for longer than a lease: the others hear them, and take
-// its part over before anything is lost. Back in reach, it takes its part up again without harm.
+// its shard over before anything is lost. Back in reach, it takes its shard up again without harm.
 TEST(Scale, ShardOfAControllerWithoutHeartbeatsIsTransferred) {
     for (const LinkState cut : {LinkState::hold, LinkState::drop}) {
-        FleetStory s(fleet_options(3, 60), 60);
+        FleetFixture s(fleet_options(3, 60), 60);
         SimulatedDeployment& deployment = s.deployment;
         deployment.run(8);
         s.submit(54, 150);
@@ -220,9 +220,9 @@
         for (const auto& id : all) deployment.set_link("n0", id, LinkState::up);
         deployment.run(60);
         for (std::uint32_t part = 0; part < 3; ++part) {
-            int owners = 0;
-            for (int n = 0; n < 3; ++n) owners += deployment.controller(n).cluster().term(part) ? 1 : 0;
-            EXPECT_EQ(owners, 1);
+            int leaders = 0;
+            for (int n = 0; n < 3; ++n) leaders += deployment.controller(n).cluster().term(part) ? 1 : 0;
+            EXPECT_EQ(leaders, 1);
         }
         EXPECT_TRUE(s.all_done(200));
         EXPECT_EQ(deployment.checker.starts, starts);
@@ -230,8 +230,8 @@
     }
 }
 
-// More questions than the state service takes requests: one read answers all who asked before it, and none is
-// left unanswered.
+// More questions than the key-value store takes requests: one read answers all who asked before it, and none
+// is left unanswered.
 TEST(Scale, PollsBeyondTheStoreRateLimitAreAllAnswered) {
     DeploymentOptions o;
     o.enforce_rate_limits = true;
@@ -359,7 +359,7 @@
 // Machines are taken without notice while a controller crashes.
 TEST(Scale, JobsContinueWhenMachinesAndAControllerAreLostTogether) {
     const int machines = 300 / shrink;
-    FleetStory s(fleet_options(3, machines), machines);
+    FleetFixture s(fleet_options(3, machines), machines);
     SimulatedDeployment& deployment = s.deployment;
     deployment.run(8);
     s.submit(machines * 6 / 10, 60);
@@ -374,7 +374,7 @@
     s.expect_no_violations();
 }
 
-// Machines that report every ten seconds are asked to check in when a start for them was committed.
+// Machines that report every ten seconds are asked for a heartbeat when a start for them was committed.
 TEST(Scale, StartsAreDeliveredWithoutWaitingForAHeartbeat) {
     DeploymentOptions o;
     o.heartbeat_interval_s = 10;
@@ -399,7 +399,7 @@
     expect_no_violations(deployment);
 }
 
-// Seven controllers and some four hundred machines: one home commits for a job, so that hardly a write meets
+// Seven controllers and some four hundred machines: one committer serves a job, so that hardly a write meets
 // another's; what waits anywhere stays within bounds, and a status tells of it.
 TEST(Scale, SevenControllersCommitWithFewConflicts) {
     DeploymentOptions o;
@@ -439,8 +439,8 @@
     expect_no_violations(deployment);
 }
 
-// One-task jobs come four a second for minutes, a quarter of them cancelled, within the budgets of the state
-// service and the cloud: each is served soon, and none is forgotten.
+// One-task jobs come four a second for minutes, a quarter of them cancelled, within the rate limits of the
+// key-value store and the cloud: each is served soon, and none is forgotten.
 TEST(Scale, FourSingleTaskJobsASecondAreServedWithinRateLimits) {
     DeploymentOptions o = options_with_seed(1);
     o.enforce_rate_limits = true;
--- a/tests/team_locks_test.cpp
+++ b/tests/team_locks_test.cpp
@@ -72,7 +72,7 @@
     expect_no_violations(deployment);
 }
 
-// The start of a whole job has no answer; more urgent work takes the team's room meanwhile, and then the
+// The start of a whole job has no answer; more urgent work takes the team's capacity meanwhile, and then the
 // start would be carried out after all. Its page is as it was: only the lock's new token stops it.
 TEST(TeamLock, LateStartIsFencedAfterItsCapacityWasUsed) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -129,14 +129,14 @@
     deployment.run(14);
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 400));
     expect_no_violations(deployment);
-    // No room of the team leaked.
+    // No capacity of the team leaked.
     deployment.run(3);
     for (int n = 0; n < 3; ++n)
         EXPECT_EQ(deployment.controller(n).state_cache().quota_usage(zincdyke::TeamName("blue")).cpu, 0) << n;
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, LateStarts, ::testing::Range<std::uint64_t>(1, 9));
 
-// The state service is read anew while starts are committed: what the list lacks of them is waited for.
+// The key-value store is read anew while starts are committed: what the list lacks of them is waited for.
 TEST(TeamLock, StateReloadedWhileStartingKeepsTheQuota) {
     DeploymentOptions o;
     o.list_page_size = 2;  // a list takes long, and its first pages are old when it ends
--- a/tests/upgrade_faults_test.cpp
+++ b/tests/upgrade_faults_test.cpp
@@ -1,5 +1,5 @@
-// Random faults across an upgrade: nodes of both versions, arrays of several pages, gangs and services, late
-// and lost commits, and limits that drop at a random moment after the level has risen.
+// Random faults across an upgrade: controllers of both versions, arrays of several pages, gangs and services,
+// late and lost commits, and limits that drop at a random moment after the level has risen.
 #include <cstdlib>
 
 #include "cluster/format_level.h"
@@ -139,7 +139,7 @@
         }
     }
 
-    // Upgraded at random moments; a node that is down by a fault is replaced as well.
+    // Upgraded at random moments; a controller that is down by a fault is replaced as well.
     void plan_upgrades() {
         for (int i = 0; i < 3; ++i)
             deployment.after(5 + 40 * deployment.chance(),
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Two versions side by side, the format level, and limits of the state service that shrink without notice.
+// Two versions side by side, the format level, and limits of the key-value store that shrink without notice.
 #include <algorithm>
 #include <deque>
 #include <set>
@@ -41,7 +41,7 @@
     return settings;
 }
 
-// A deployment whose state service will have a quarter of the value size and half of the operations.
+// A deployment whose key-value store will have a quarter of the value size and half of the operations.
 DeploymentOptions shrinking(std::uint64_t seed = 1) {
     DeploymentOptions o;
     o.seed = seed;
@@ -226,7 +226,7 @@
 
 class RollingUpgrade : public ::testing::TestWithParam<int> {};
 // Nodes are upgraded in every order while arrays of several pages and a gang run, one that was not upgraded
-// yet crashes and comes back as it was, and the owner of a part ends after each step. Then the limits drop.
+// yet crashes and comes back as it was, and the leader of a shard ends after each step. Then the limits drop.
 TEST_P(RollingUpgrade, FormatLevelRisesOnlyAfterTheLastController) {
     std::vector<int> order{0, 1, 2};
     for (int i = 0; i < GetParam(); ++i) std::next_permutation(order.begin(), order.end());
@@ -277,7 +277,7 @@
 }
 
 class UpgradeUnderFaults : public ::testing::TestWithParam<int> {};
-// Commits without an answer, late or sent twice, a state service that is away, a crash at each moment: the
+// Commits without an answer, late or sent twice, a key-value store that is away, a crash at each moment: the
 // level rises once all are upgraded, and does not fall.
 TEST_P(UpgradeUnderFaults, FormatLevelRisesOnce) {
     DeploymentOptions o = shrinking(static_cast<std::uint64_t>(GetParam()) + 40);
@@ -380,7 +380,7 @@
     expect_no_violations(deployment);
 }
 
-// An old node accepted it under the larger limit; it is cancelled and closed under the smaller.
+// An old controller accepted it under the larger limit; it is cancelled and closed under the smaller.
 TEST(Upgrade, JobWithOversizeRecordCanBeCancelled) {
     DeploymentOptions o = shrinking(7);
     SimulatedDeployment deployment(o);
@@ -419,8 +419,8 @@
     expect_no_violations(deployment);
 }
 
-// Should the limits drop while a node has not been upgraded, what is too large for them waits for that node:
-// nothing is written that it could not read, and nothing is asked again and again.
+// Should the limits drop while a controller has not been upgraded, what is too large for them waits for that
+// controller: nothing is written that it could not read, and nothing is asked again and again.
 TEST(Upgrade, LimitsLoweredBeforeTheUpgradeEndsAreTolerated) {
     DeploymentOptions o = shrinking(10);
     o.production_controllers = {2};
