--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -4,7 +4,7 @@
 #include <unordered_map>
 
 #include "base/types.h"
-#include "store/store_client.h"
+#include "store/store_requests.h"
 
 namespace zincdyke {
 
--- /dev/null
+++ b/src/store/request_budget.cpp
@@ -0,0 +1,71 @@
+#include "store/request_budget.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace zincdyke {
+namespace {
+// The rest is left over: the clocks of the nodes and of the store differ.
+constexpr double usable_share = 0.95;
+constexpr double user_read_share = 0.25;  // of the requests
+// Not spent on starts and ends, so that a submission need not wait for them.
+constexpr double reserved_writes = 1.0;
+constexpr double write_load_window_s = 8;
+constexpr double min_rate = 1.0;
+constexpr double min_available_writes = 2.0;
+}  // namespace
+
+RequestBudget::RequestBudget(const Settings& settings) : settings_(settings) {
+    set_share(1.0 / settings.size, 1.0 / settings.size);
+}
+
+void RequestBudget::set_share(double requests, double writes) {
+    const double request_rate = settings_.state_rps * requests * usable_share;
+    requests_.set_rate(std::max(min_rate, request_rate * (1 - user_read_share)));
+    user_reads_.set_rate(std::max(min_rate, request_rate * user_read_share));
+    writes_.set_rate(std::max(min_rate, settings_.strictest_limits.write_rps * writes * usable_share));
+}
+
+std::optional<Duration> RequestBudget::take_or_wait(SteadyTime now, RequestPriority priority, double writes) {
+    const bool from_user_reads = priority == RequestPriority::user && writes == 0 && user_reads_.has(now, 1);
+    const bool has_request = from_user_reads || requests_.has(now, 1);
+    const bool has_writes = writes == 0 || writes_.has(now, writes);
+    if (!has_request || !has_writes)
+        return std::max(has_request ? Duration(0) : requests_.until(1),
+                        has_writes ? Duration(0) : writes_.until(writes));
+    (from_user_reads ? user_reads_ : requests_).take(1);
+    if (writes > 0) {
+        writes_.take(writes);
+        count_writes(now, writes);
+    }
+    return std::nullopt;
+}
+
+void RequestBudget::take_regardless(SteadyTime now) {
+    requests_.refill(now);
+    requests_.take(1);
+}
+
+void RequestBudget::drain(double writes) { (writes > 0 ? writes_ : requests_).drain(); }
+
+std::size_t RequestBudget::available_writes(SteadyTime now) {
+    // A bucket too small for both still lets one commit of two writes go when it is full.
+    if (!writes_.has(now, min_available_writes + reserved_writes) || !requests_.has(now, 1)) return 0;
+    return static_cast<std::size_t>(std::max(min_available_writes, writes_.tokens() - reserved_writes));
+}
+
+Duration RequestBudget::time_until_writes(std::size_t count) const {
+    return std::max(writes_.until(static_cast<double>(count) + reserved_writes), requests_.until(1));
+}
+
+double RequestBudget::write_load(SteadyTime now) {
+    count_writes(now, 0);
+    return recent_writes_ / (writes_.rate() * write_load_window_s);
+}
+
+void RequestBudget::count_writes(SteadyTime now, double count) {
+    recent_writes_ = recent_writes_ * std::exp(-to_seconds(now - counted_at_) / write_load_window_s) + count;
+    counted_at_ = now;
+}
+
+}  // namespace zincdyke
--- /dev/null
+++ b/src/store/request_queue.cpp
@@ -0,0 +1,115 @@
+#include "store/request_queue.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/log.h"
+#include "store/store_protocol.h"
+
+namespace zincdyke {
+namespace {
+constexpr Duration queue_timeout = std::chrono::milliseconds(2500);
+constexpr Duration max_pump_delay = std::chrono::milliseconds(250);
+constexpr std::size_t max_queue_length = 400;
+
+constexpr std::size_t index_of(RequestPriority priority) { return static_cast<std::size_t>(priority); }
+}  // namespace
+
+void StoreReachability::note_answered() {
+    if (!is_reachable()) log::info("event=store_reachable");
+    failures_ = 0;
+}
+
+void StoreReachability::note_unanswered(SteadyTime now, int status) {
+    if (++failures_ != max_failures) return;
+    unreachable_since_ = now;
+    log::warn("event=store_unreachable status={}", status);
+}
+
+Duration StoreReachability::unreachable_for(SteadyTime now) const {
+    return is_reachable() ? Duration(0) : now - unreachable_since_;
+}
+
+RequestQueue::RequestQueue(Env& env, const Settings& settings)
+    : env_(env), settings_(settings), budget_(settings) {}
+
+void RequestQueue::submit(RequestPriority priority, Request request) {
+    const SteadyTime deadline = env_.now() + queue_timeout;
+    auto& queue = queues_[index_of(priority)];
+    // While the store is out of reach only leases go out, which serve as a probe; the rest is told at once.
+    const bool may_go = reachability_.is_reachable() || priority == RequestPriority::lease;
+    if (!may_go || queue.size() >= max_queue_length)
+        return shed(std::move(request.done), store_protocol::unavailable_response());
+    queue.push_back({std::move(request), deadline});
+    pump();
+}
+
+void RequestQueue::shed(Reply done, HttpResponse response) {
+    ++counts_.shed;
+    env_.after(Duration(0), [done = std::move(done), response = std::move(response)] { done(response); });
+}
+
+void RequestQueue::pump() {
+    const SteadyTime now = env_.now();
+    for (std::size_t i = 0; i < priority_count; ++i) pump(static_cast<RequestPriority>(i), now);
+}
+
+void RequestQueue::pump(RequestPriority priority, SteadyTime now) {
+    auto& queue = queues_[index_of(priority)];
+    while (!queue.empty()) {
+        Waiting& next = queue.front();
+        if (next.deadline < now) {
+            shed(std::move(next.request.done), store_protocol::rate_limited_response());
+            queue.pop_front();
+            continue;
+        }
+        if (const auto wait = budget_.take_or_wait(now, priority, next.request.writes)) {
+            // What is less urgent may still go: out of writes reads can, and users' reads have their share.
+            return pump_after(*wait);
+        }
+        ++counts_.requests[index_of(priority)];
+        counts_.writes[index_of(priority)] += static_cast<std::uint64_t>(next.request.writes);
+        Request request = std::move(next.request);
+        queue.pop_front();
+        send(std::move(request));
+    }
+}
+
+void RequestQueue::pump_after(Duration wait) {
+    if (timer_ != 0) return;
+    timer_ = env_.after(std::min(wait, max_pump_delay), [this] {
+        timer_ = 0;
+        pump();
+    });
+}
+
+void RequestQueue::send(Request request) {
+    env_.http(settings_.state, std::move(request.http), request.timeout,
+              [this, writes = request.writes, done = std::move(request.done)](HttpResponse response) {
+                  on_response(writes, response);
+                  done(std::move(response));
+                  pump();
+              });
+}
+
+void RequestQueue::on_response(double writes, const HttpResponse& response) {
+    if (store_protocol::is_unavailable(response))
+        reachability_.note_unanswered(env_.now(), response.status);
+    else
+        reachability_.note_answered();
+    if (!store_protocol::is_rate_limited(response)) return;
+    ++counts_.refused;
+    budget_.drain(writes);
+}
+
+void RequestQueue::send_watch(HttpRequest http, Duration timeout, Reply done) {
+    budget_.take_regardless(env_.now());
+    ++counts_.watches;
+    env_.http(settings_.state, std::move(http), timeout,
+              [this, done = std::move(done)](HttpResponse response) {
+                  counts_.watch_bytes += response.body.size();
+                  done(std::move(response));
+              });
+}
+
+}  // namespace zincdyke
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -20,7 +20,7 @@
 #include "store/page_layout.h"
 #include "store/record_versions.h"
 #include "store/state_observer.h"
-#include "store/store_client.h"
+#include "store/store_requests.h"
 #include "store/tasks_by_machine.h"
 #include "store/team_quotas.h"
 #include "wire/json_api.h"
--- /dev/null
+++ b/src/store/store_protocol.cpp
@@ -0,0 +1,179 @@
+#include "store/store_protocol.h"
+
+#include <utility>
+
+namespace zincdyke::store_protocol {
+namespace {
+
+constexpr int status_no_answer = 0;
+constexpr int status_ok = 200;
+constexpr int status_not_found = 404;
+constexpr int status_conflict = 409;
+constexpr int status_compacted = 410;
+constexpr int status_rate_limited = 429;
+constexpr int status_server_error = 500;
+constexpr int status_unavailable = 503;
+
+Outcome outcome_of(int status) {
+    switch (status) {
+        case status_ok:
+            return Outcome::ok;
+        case status_not_found:
+            return Outcome::not_found;
+        case status_conflict:
+            return Outcome::conflict;
+        case status_rate_limited:
+        case status_unavailable:
+            return Outcome::not_executed;
+        case status_no_answer:
+            return Outcome::unknown;
+        default:
+            return status >= status_server_error ? Outcome::unknown : Outcome::invalid_request;
+    }
+}
+
+// 0 where there is none.
+std::uint64_t number_in(const Json& body, const char* field) {
+    const auto found = body.find(field);
+    return found != body.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
+}
+
+Revision revision_in(const Json& body, const char* field) { return Revision{number_in(body, field)}; }
+
+struct Answer {
+    Outcome outcome;
+    Json body;  // an object; empty if the answer's can't be read
+};
+
+Answer parse(const HttpResponse& response) {
+    Answer answer{outcome_of(response.status), Json::parse(response.body, nullptr, false)};
+    if (answer.body.is_object()) return answer;
+    answer.body = Json::object();
+    if (answer.outcome == Outcome::ok || answer.outcome == Outcome::conflict)
+        answer.outcome = Outcome::unknown;
+    return answer;
+}
+
+KeyUpdate change_in(Json& entry) {
+    KeyUpdate update;
+    update.version = revision_in(entry, "stamp");
+    if (entry.contains("set")) {
+        update.key = entry.value("set", "");
+        update.value = std::move(entry["value"]);
+    } else {
+        update.key = entry.value("delete", "");
+    }
+    return update;
+}
+
+Json encode_write(const Write& write) {
+    if (!write.value) return {{"delete", write.key}};
+    Json entry = {{"set", write.key}, {"value", *write.value}};
+    if (write.grant) entry["tether"] = *write.grant;
+    return entry;
+}
+
+std::string milliseconds(Duration duration) { return std::to_string(duration.count() / 1000); }
+
+}  // namespace
+
+HttpRequest get_request(const std::string& key) { return {"GET", "/store/" + key, ""}; }
+
+GetResult parse_get(const HttpResponse& response) {
+    const Answer answer = parse(response);
+    GetResult result;
+    result.outcome = answer.outcome;
+    if (answer.outcome == Outcome::ok) {
+        result.version = revision_in(answer.body, "stamp");
+        result.value = answer.body.value("value", Json());
+        if (result.version == Revision{}) result.outcome = Outcome::unknown;
+    } else if (answer.outcome == Outcome::not_found) {
+        result.version = revision_in(answer.body, "epoch");
+    }
+    return result;
+}
+
+HttpRequest list_request(const std::string& prefix, const std::string& after) {
+    std::string path = "/store?prefix=" + prefix + "&most=1000";
+    if (!after.empty()) path += "&after=" + after;
+    return {"GET", std::move(path), ""};
+}
+
+ListResult parse_list(const HttpResponse& response) {
+    const Answer answer = parse(response);
+    ListResult result;
+    result.outcome = answer.outcome;
+    if (answer.outcome != Outcome::ok) return result;
+    result.revision = revision_in(answer.body, "epoch");
+    result.has_more = answer.body.value("has_next", false);
+    for (auto& entry : answer.body.value("items", Json::array()))
+        result.items.push_back(
+            {entry.value("key", ""), std::move(entry["value"]), revision_in(entry, "stamp")});
+    return result;
+}
+
+HttpRequest watch_request(const std::string& prefix, Revision after, Duration hold) {
+    return {"GET",
+            "/watch?prefix=" + prefix + "&after=" + std::to_string(after.value()) +
+                "&hold_ms=" + milliseconds(hold),
+            ""};
+}
+
+ListResult parse_watch(const HttpResponse& response) {
+    const Answer answer = parse(response);
+    ListResult result;
+    result.outcome = answer.outcome;
+    result.is_compacted = response.status == status_compacted;
+    if (answer.outcome != Outcome::ok) return result;
+    result.revision = revision_in(answer.body, "epoch");
+    for (auto& entry : answer.body.value("news", Json::array())) result.items.push_back(change_in(entry));
+    return result;
+}
+
+HttpRequest commit_request(const Transaction& txn) {
+    Json conditions = Json::array(), writes = Json::array();
+    for (const Condition& condition : txn.conditions)
+        conditions.push_back({{"key", condition.key}, {"stamp", condition.version.value()}});
+    for (const Write& write : txn.writes) writes.push_back(encode_write(write));
+    return {"POST", "/commit", Json{{"if", std::move(conditions)}, {"writes", std::move(writes)}}.dump()};
+}
+
+CommitResult parse_commit(const HttpResponse& response) {
+    const Answer answer = parse(response);
+    CommitResult result;
+    result.outcome = answer.outcome;
+    if (answer.outcome == Outcome::ok) {
+        result.revision = revision_in(answer.body, "epoch");
+        if (result.revision == Revision{}) result.outcome = Outcome::unknown;
+    } else if (answer.outcome == Outcome::conflict) {
+        for (const auto& key : answer.body.value("failed", Json::array()))
+            if (key.is_string()) result.failed.push_back(key.get<std::string>());
+    }
+    return result;
+}
+
+HttpRequest grant_lease_request(Duration life) {
+    return {"POST", "/grants", Json{{"life_ms", life.count() / 1000}}.dump()};
+}
+
+LeaseResult parse_lease(const HttpResponse& response) {
+    const Answer answer = parse(response);
+    const std::uint64_t id = number_in(answer.body, "tether");
+    if (answer.outcome == Outcome::ok && id == 0) return {Outcome::unknown, 0};
+    return {answer.outcome, id};
+}
+
+HttpRequest renew_lease_request(std::uint64_t lease) {
+    return {"POST", "/grants/" + std::to_string(lease) + "/touch", ""};
+}
+
+Outcome parse_outcome(const HttpResponse& response) { return outcome_of(response.status); }
+
+HttpResponse unavailable_response() { return {status_unavailable, "", -1}; }
+HttpResponse rate_limited_response() { return {status_rate_limited, "", -1}; }
+bool is_rate_limited(const HttpResponse& response) { return response.status == status_rate_limited; }
+bool is_unavailable(const HttpResponse& response) {
+    return response.status == status_no_answer || response.status == status_unavailable;
+}
+
+}  // namespace zincdyke::store_protocol
--- /dev/null
+++ b/src/store/token_bucket.cpp
@@ -0,0 +1,23 @@
+#include "store/token_bucket.h"
+
+namespace zincdyke {
+namespace {
+constexpr Duration min_wait = std::chrono::milliseconds(2);
+constexpr double rounding_error = 1e-9;
+}  // namespace
+
+void TokenBucket::refill(SteadyTime now) {
+    tokens_ = last_refill_ ? std::min(rate_, tokens_ + rate_ * to_seconds(now - *last_refill_)) : rate_;
+    last_refill_ = now;
+}
+
+bool TokenBucket::has(SteadyTime now, double amount) {
+    refill(now);
+    return tokens_ >= std::min(amount, rate_) - rounding_error;
+}
+
+Duration TokenBucket::until(double amount) const {
+    return std::max(min_wait, seconds((std::min(amount, rate_) - tokens_) / rate_));
+}
+
+}  // namespace zincdyke
