--- a/tests/bad_input_test.cpp
+++ b/tests/bad_input_test.cpp
@@ -13,7 +13,7 @@
 
 #include "base/settings.h"
 #include "policy/policy.h"
-#include "story.h"
+#include "deployment_helpers.h"
 #include "wire/json_api.h"
 
 namespace zincdyke::testing {
@@ -93,7 +93,7 @@
 };
 
 TEST(BadInput, SubmissionsAreToldWhatIsWrong) {
-    World world{World::Options()};
+    SimulatedDeployment world{DeploymentOptions()};
     world.run(5);
     const std::vector<WrongField> cases = {
         {"uid", nullptr, 400, R"({"error":"uid is missing"})"},
@@ -135,7 +135,7 @@
 }
 
 TEST(BadInput, RequestsAreToldWhatIsWrong) {
-    World world{World::Options()};
+    SimulatedDeployment world{DeploymentOptions()};
     world.run(5);
     struct Case {
         const char* method;
