--- a/src/app/peer_message_dispatcher.cpp
+++ b/src/app/peer_message_dispatcher.cpp
@@ -5,7 +5,7 @@
 namespace zincdyke {
 
 void PeerMessageDispatcher::dispatch(const NodeName& from, const wire::PeerMessage& message) {
-    std::visit([&](const auto& content) { on(from, content); }, message);
+    std::visit([this, &from](const auto& content) { this->on(from, content); }, message);
 }
 
 // The links handle it.
