--- a/src/cluster/session_keeper.cpp
+++ b/src/cluster/session_keeper.cpp
@@ -110,7 +110,7 @@
         if (incarnation_ == Revision{}) incarnation_ = result.revision;
         log::info("event=session_opened lease={} revision={}", lease_id_, result.revision.value());
         state_cache_.apply({keys::node(settings_.node), Json::object(), result.revision});
-    } else if (result.outcome == Outcome::invalid) {
+    } else if (result.outcome == Outcome::invalid_request) {
         replace_lease();  // the lease expired meanwhile
     } else {
         env_.after(record_retry_delay, [this] { write_record(); });
@@ -119,7 +119,7 @@
 
 void SessionKeeper::renew_lease() {
     store_.renew_lease(lease_id_, [this, lease = lease_id_](Outcome outcome) {
-        const bool is_expired = outcome == Outcome::not_found || outcome == Outcome::invalid;
+        const bool is_expired = outcome == Outcome::not_found || outcome == Outcome::invalid_request;
         if (is_expired && lease == lease_id_ && lease_state_ != LeaseState::requesting) {
             log::warn("event=session_lost lease={}", lease_id_);
             on_lost_();
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -62,7 +62,7 @@
 // `from`: the revision of the list's first page, 0 for that page itself. `asked_at`: when that one was asked
 // for.
 void StateWatcher::load_page(const std::string& after, Revision from, SteadyTime asked_at) {
-    store_.list(std::string(keys::live), after, [this, from, asked_at](ListResult result) {
+    store_.list(std::string(keys::watched_prefix), after, [this, from, asked_at](ListResult result) {
         if (result.outcome != Outcome::ok) {
             list_.clear();
             env_.after(list_retry_delay, [this] { load(); });
@@ -116,7 +116,8 @@
 void StateWatcher::watch() {
     const bool has_reads = !reads_.empty();
     watch_phase_ = WatchPhase::awaiting_answer;
-    store_.watch(std::string(keys::live), state_cache_.applied_revision, !view_.is_current() || has_reads,
+    store_.watch(std::string(keys::watched_prefix), state_cache_.applied_revision,
+                 !view_.is_current() || has_reads,
                  [this, generation = watch_generation_, sent = env_.now(), has_reads,
                   reads_end = reads_.next_number()](const ListResult& result) {
                      if (generation == watch_generation_)
@@ -172,7 +173,7 @@
 void StateWatcher::send_read() {
     last_read_ = env_.now();
     store_.watch(
-        std::string(keys::live), state_cache_.applied_revision, true,
+        std::string(keys::watched_prefix), state_cache_.applied_revision, true,
         [this, generation = watch_generation_, sent = env_.now(),
          reads_end = reads_.next_number()](const ListResult& result) {
             if (generation == watch_generation_ && result.outcome == Outcome::ok && !result.is_compacted) {
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -1,11 +1,11 @@
 #include "jobs/commit_executor.h"
 
 #include <set>
-#include <string_view>
 #include <utility>
 
 #include "base/log.h"
 #include "jobs/committed_records.h"
+#include "store/keys.h"
 
 namespace zincdyke {
 namespace {
@@ -13,7 +13,6 @@
 constexpr Duration invalid_retry_delay = std::chrono::seconds(2);
 constexpr Duration refreshed_retry_delay = std::chrono::milliseconds(30);
 constexpr Duration lock_poll_interval = std::chrono::milliseconds(100);
-constexpr std::string_view shard_prefix = "z/p/";
 
 std::vector<std::string> condition_keys(const Transaction& transaction) {
     std::vector<std::string> names;
@@ -121,10 +120,10 @@
     if (result.outcome == Outcome::conflict) ++counts_.conflicts;
     if (result.outcome == Outcome::unknown && key.is_of_team()) locks_.invalidate(key.team);
     // An invalid one was rejected for good as it is: what can make it smaller takes its time.
-    const Duration delay = result.outcome == Outcome::invalid ? invalid_retry_delay : retry_delay;
+    const Duration delay = result.outcome == Outcome::invalid_request ? invalid_retry_delay : retry_delay;
     put_back(built, result, delay);
-    if (result.outcome == Outcome::refused) return queue_.schedule(key, delay);
-    if (result.outcome == Outcome::invalid) {
+    if (result.outcome == Outcome::not_executed) return queue_.schedule(key, delay);
+    if (result.outcome == Outcome::invalid_request) {
         log::error("event=commit_rejected team={} job={} writes={}", key.team.value(), key.page.job.value(),
                    built.transaction.writes.size());
         return queue_.schedule(key, delay);
@@ -154,7 +153,7 @@
     for (const auto& record_key : record_keys)
         store_.get(record_key, RequestPriority::report, [this, key, record_key, left](const GetResult& read) {
             // Shards are read by the watch alone: a term counts only once all before it is known.
-            const bool is_shard = record_key.rfind(shard_prefix, 0) == 0;
+            const bool is_shard = keys::parse(record_key).kind == keys::Kind::shard;
             if (!is_shard && read.outcome == Outcome::ok)
                 state_cache_.apply({record_key, read.value, read.version});
             if (!is_shard && read.outcome == Outcome::not_found &&
--- a/src/jobs/committed_records.cpp
+++ b/src/jobs/committed_records.cpp
@@ -6,8 +6,7 @@
 namespace {
 constexpr std::size_t max_record_bytes = 60'000;  // of all records in a message, below the frame's limit
 
-bool is_live(const std::string& key) { return key.rfind(keys::live, 0) == 0; }
-bool is_job(const std::string& key) { return key.rfind(keys::job({}), 0) == 0; }
+bool is_job(const std::string& key) { return keys::parse(key).kind == keys::Kind::job; }
 
 void apply_stored_record(StateCache& state_cache, const wire::StoredRecord& record) {
     const JobId job_of_page = keys::job_of_page(record.key);
@@ -27,14 +26,14 @@
     for (const auto& write : transaction.writes)
         if (is_job(write.key)) state_cache.apply({write.key, write.value, revision});
     for (const auto& write : transaction.writes)
-        if (is_live(write.key)) state_cache.apply({write.key, write.value, revision});
+        if (keys::is_watched(write.key)) state_cache.apply({write.key, write.value, revision});
 }
 
 std::vector<wire::StoredRecord> stored_records(const Transaction& transaction, Revision revision) {
     std::vector<wire::StoredRecord> records;
     std::size_t bytes = 0;
     for (const auto& write : transaction.writes) {
-        if (!is_live(write.key)) continue;
+        if (!keys::is_watched(write.key)) continue;
         wire::StoredRecord record{write.key, write.value ? write.value->dump() : "", revision.value()};
         bytes += record.value.size();
         if (bytes <= max_record_bytes) records.push_back(std::move(record));
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -219,12 +219,12 @@
                 if (may_retry(submission->give_up_at)) return commit_submission(submission);
                 submission->reply(try_later());
             });
-        case Outcome::refused:
+        case Outcome::not_executed:
             if (!may_retry(give_up_at)) break;
             env_.after(retry_delay, [this, submission] { commit_submission(submission); });
             return;
         case Outcome::not_found:
-        case Outcome::invalid:
+        case Outcome::invalid_request:
             break;
     }
     reply(try_later());
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -12,8 +12,6 @@
 
 /// What every record begins with that controllers follow by their watch; final states lie outside of it.
 inline constexpr std::string_view watched_prefix = "z/";
-/// Its former name.
-inline constexpr std::string_view live = watched_prefix;
 /// The autoscaler's leader, tied to its session's lease.
 inline const std::string autoscaler_leader = "z/s";
 /// The cloud's machine types, as last listed.
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -31,15 +31,11 @@
     not_found,
     /// Not carried out: the budget, or a queue, was full, or the store said 429 or 503. May be sent again.
     not_executed,
-    /// No answer, or none that can be read: may have been carried out, or may be yet. Only a read, or sending
-    /// it
-    /// again under the same preconditions, tells.
+    /// No answer, or none that can be read: may have been carried out, or may be yet. Only a read,
+    /// or sending it again under the same preconditions, tells.
     unknown,
     /// Not carried out: the store takes it for malformed (400 and the like). Sent again it fares no better.
-    invalid_request,
-
-    refused = not_executed,    ///< former name
-    invalid = invalid_request  ///< former name
+    invalid_request
 };
 
 /// A precondition of a transaction: the key's record has this version; 0: there is none.
--- a/tests/bad_input_test.cpp
+++ b/tests/bad_input_test.cpp
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "base/settings.h"
-#include "policy/policy.h"
 #include "deployment_helpers.h"
+#include "policy/policy.h"
 #include "wire/json_api.h"
 
 namespace zincdyke::testing {
@@ -93,8 +93,8 @@
 };
 
 TEST(BadInput, SubmissionsAreToldWhatIsWrong) {
-    SimulatedDeployment world{DeploymentOptions()};
-    world.run(5);
+    SimulatedDeployment deployment{DeploymentOptions()};
+    deployment.run(5);
     const std::vector<WrongField> cases = {
         {"uid", nullptr, 400, R"({"error":"uid is missing"})"},
         {"uid", "job-x", 400, R"({"error":"uid must look like job-000412"})"},
@@ -122,12 +122,12 @@
         {"due_s", -5, 400, R"({"error":"due_s is out of range"})"},
     };
     for (const auto& wrong : cases) {
-        Json submission = world.job("job-000001", 1, 1, 5);
+        Json submission = deployment.job("job-000001", 1, 1, 5);
         if (wrong.value.is_null())
             submission.erase(wrong.field);
         else
             submission[wrong.field] = wrong.value;
-        const auto response = world.ask(0, "POST", "/api/jobs", submission.dump());
+        const auto response = deployment.request(0, "POST", "/api/jobs", submission.dump());
         const std::string what = std::string(wrong.field) + " " + wrong.value.dump();
         EXPECT_EQ(response.status, wrong.status) << what;
         EXPECT_EQ(response.body, wrong.body) << what;
@@ -135,8 +135,8 @@
 }
 
 TEST(BadInput, RequestsAreToldWhatIsWrong) {
-    SimulatedDeployment world{DeploymentOptions()};
-    world.run(5);
+    SimulatedDeployment deployment{DeploymentOptions()};
+    deployment.run(5);
     struct Case {
         const char* method;
         const char* path;
@@ -166,7 +166,7 @@
         {"POST", "/checkin", "{}", 400, "{}"},
     };
     for (const auto& wrong : cases) {
-        const auto response = world.ask(0, wrong.method, wrong.path, wrong.body);
+        const auto response = deployment.request(0, wrong.method, wrong.path, wrong.body);
         const std::string what = std::string(wrong.method) + " " + wrong.path;
         EXPECT_EQ(response.status, wrong.status) << what;
         EXPECT_EQ(response.body, wrong.answer) << what;
--- a/tests/start_tracker_test.cpp
+++ b/tests/start_tracker_test.cpp
@@ -58,7 +58,7 @@
 TEST_F(StartTrackerTest, StepsAreCountedOnceWhenTheTaskRuns) {
     StartProgress progress;
     progress.queued = seconds(4);
-    progress.assigned = env_.current;
+    progress.assigned = env_.now();
     env_.stall(millis(100));
     tracker_.on_committed(id_, attempt_, progress);
     env_.stall(millis(700));
