--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -70,16 +70,16 @@
     app.set_version_flag("--version", std::string("zincdyke ") + ZINCDYKE_VERSION);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? 0 : exit_invalid_input;
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? 0 : exit_invalid_input;
     }
     zincdyke::Settings settings;
     zincdyke::Policy policy;
     try {
         settings = zincdyke::load_settings(settings_file);
         if (!policy_file.empty()) policy = zincdyke::load_policy(policy_file);
-    } catch (const std::exception& e) {
-        std::cerr << "zincdyke: " << e.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "zincdyke: " << error.what() << '\n';
         return exit_invalid_input;
     }
     if (check_only) {
@@ -91,8 +91,8 @@
     raise_file_limit(settings);
     try {
         run_controller(settings, policy);
-    } catch (const std::exception& e) {
-        zincdyke::log::error("event=process_failed reason=\"{}\"", e.what());
+    } catch (const std::exception& error) {
+        zincdyke::log::error("event=process_failed reason=\"{}\"", error.what());
         return exit_failed;
     }
     return 0;
@@ -103,8 +103,8 @@
 int main(int argc, char** argv) {
     try {
         return run(argc, argv);
-    } catch (const std::exception& e) {
-        std::cerr << "zincdyke: " << e.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "zincdyke: " << error.what() << '\n';
     } catch (...) {
         std::cerr << "zincdyke: unknown error\n";
     }
--- a/src/cluster/cancellation_watermark.h
+++ b/src/cluster/cancellation_watermark.h
@@ -45,7 +45,7 @@
 /// moment at which that process was first heard of; until then only reading
 /// advances it.
 ///
-/// Never goes back. Runs on the event loop; tests/cancel_test.cpp has outages
+/// Never goes back. Runs on the event loop; tests/cancellation_test.cpp has outages
 /// with and without a missing peer.
 class CancellationWatermark {
   public:
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -207,6 +207,7 @@
     static const TaskState never_started;
     const bool is_gang = job.spec.shape == wire::Shape::gang;
     const std::size_t max_tasks = is_gang ? job.spec.tasks : max_tasks_per_request;
+    const std::size_t requested_before = is_gang ? 0 : waiting.requested.size();
     std::vector<TaskIndex> tasks;
     for (std::uint32_t number = 0; number < state_cache_.pages_of(job) && tasks.size() < max_tasks;
          ++number) {
@@ -218,11 +219,8 @@
         for (TaskIndex i = 0; i < size && tasks.size() < max_tasks; ++i) {
             const TaskState& state = page != nullptr ? page->tasks[i] : never_started;
             if (!is_due(job, waiting, first + i, state)) continue;
-            const std::size_t requested = tasks.size() + 1 + (is_gang ? 0 : waiting.requested.size());
-            if (!state_cache_.fits_team_quota(job.spec.team, job.spec.need,
-                                              static_cast<TaskIndex>(requested)))
-                break;
-            if (is_gang && !sched::next_attempt(job, state)) return {};
+            const std::size_t requested = tasks.size() + 1 + requested_before;
+            if (!may_request(job, state, static_cast<TaskIndex>(requested))) break;
             tasks.push_back(first + i);
         }
     }
@@ -236,6 +234,11 @@
     return !job.spec.is_service() || waiting.restarts.earliest_start(task, env_.now()) <= env_.now();
 }
 
+bool Relay::may_request(const Job& job, const TaskState& state, TaskIndex requested) const {
+    if (!state_cache_.fits_team_quota(job.spec.team, job.spec.need, requested)) return false;
+    return job.spec.shape != wire::Shape::gang || sched::next_attempt(job, state).has_value();
+}
+
 void Relay::send_placement_request(const Job& job, std::vector<TaskIndex> tasks) {
     const auto scorers = peers_.reachable_nodes();
     wire::PlacementRequest request;
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -58,6 +58,9 @@
 
     std::vector<TaskIndex> tasks_to_request(const Job& job, WaitingJob& waiting) const;
     bool is_due(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
+    /// Whether the team's quota allows so many tasks of the job to be requested, and the task may be started
+    /// again by now: a gang's only once its last attempt is over.
+    bool may_request(const Job& job, const TaskState& state, TaskIndex requested) const;
     void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
 
     Env& env_;
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -116,7 +116,7 @@
 TEST(Cancellation, TasksStopInTimeWhileAShardChangesItsLeader) {
     for (int moment = 0; moment < 12; ++moment)
         for (const bool ends : {true, false}) {
-            SimulatedDeployment deployment(options_with_seed(static_cast<std::uint64_t>(moment + 1)));
+            SimulatedDeployment deployment(options_with_seed(static_cast<std::uint64_t>(moment) + 1));
             deployment.run(3);
             // Some run, others are started all the time.
             const std::string runs = job_id(1), starts = job_id(2), stays = job_id(3);
--- a/tests/consistent_read_checker.h
+++ b/tests/consistent_read_checker.h
@@ -37,8 +37,8 @@
         }
     }
     std::string newest(const std::string& id) {
-        const std::string by_world = deployment_.last_phase(id);
-        if (by_world == "done" || by_world == "withdrawn") return by_world;
+        std::string last_phase = deployment_.last_phase(id);
+        if (last_phase == "done" || last_phase == "withdrawn") return last_phase;
         if (const auto known = told_.find(id); known != told_.end()) return known->second;
         return deployment_.is_accepted(id) ? "accepted" : "";
     }
--- a/tests/fakes/controller_hosts.h
+++ b/tests/fakes/controller_hosts.h
@@ -42,8 +42,8 @@
     [[nodiscard]] std::uint64_t incarnation(std::size_t host) const { return hosts_[host].incarnation; }
 
     /// Does nothing if it runs.
-    void start(std::size_t host);
-    void crash(std::size_t host);
+    void start(std::size_t index);
+    void crash(std::size_t index);
     /// The process stands still for so many seconds while clocks run on. What comes meanwhile waits, and is
     /// handled before the process's own timers.
     void freeze(std::size_t host, double seconds) { hosts_[host].frozen_until = clock_.now() + seconds; }
@@ -57,7 +57,7 @@
     void upgrade(std::size_t host, double down_s);
 
     /// Runs `fn` if that incarnation still runs; if it is frozen, `delay` seconds after it goes on.
-    void deliver(std::size_t host, std::uint64_t incarnation, double delay, std::function<void()> fn);
+    void deliver(std::size_t index, std::uint64_t incarnation, double delay, std::function<void()> fn);
     /// A peer's frame arrives.
     void deliver_frame(const NodeName& from, const NodeName& to, const std::string& frame);
     /// An HTTP request arrives at a controller that runs; all requests to controllers pass here. `from` is
--- a/tests/fakes/task_runner.h
+++ b/tests/fakes/task_runner.h
@@ -46,7 +46,7 @@
     /// Why the worker can't start the task; empty: it can.
     [[nodiscard]] std::string start_error(const FakeWorker& worker, const FakeTask& task) const;
 
-    void start(FakeWorker& worker, const std::string& key, const std::string& task, std::uint32_t attempt);
+    void start(FakeWorker& worker, const std::string& key, const std::string& name, std::uint32_t attempt);
     void stop(FakeWorker& worker, const std::string& key, double grace_s);
     void fetch_image(FakeWorker& worker, const std::string& key);
     void image_fetched(const TaskHandle& handle);
--- a/tests/leases_and_failover_test.cpp
+++ b/tests/leases_and_failover_test.cpp
@@ -200,7 +200,7 @@
     std::vector<std::string> machines;
     for (auto& [id, m] : deployment.workers.all()) {
         machines.push_back(id);
-        for (int n = 0; n < 3; ++n)
+        for (std::size_t n = 0; n < 3; ++n)
             for (double d : {50.0, 51.0, 52.0, 54.0}) deployment.workers.duplicate_heartbeat(id, n, d);
     }
     const double copies_at = deployment.now() + 50;
@@ -227,7 +227,7 @@
         [&] { return deployment.is_accepted(job_id(1)) && !deployment.workers.all().empty(); }, 20));
     ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) > 0; }, 60));
     for (auto& [id, m] : deployment.workers.all())
-        for (int n = 0; n < 3; ++n)
+        for (std::size_t n = 0; n < 3; ++n)
             for (double d : {6.0, 9.0, 14.0, 21.0, 30.0}) deployment.workers.duplicate_heartbeat(id, n, d);
     ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 8; }, 60));
     deployment.crash_controller(0);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -429,7 +429,7 @@
         commits += status["commits"]["commits"].get<std::uint64_t>();
         conflicts += status["commits"]["conflicts"].get<std::uint64_t>();
         starts += status["commits"]["starts"].get<std::uint64_t>();
-        for (const auto& n2 : status["state_service_use"]["writes"]) writes += n2.get<std::uint64_t>();
+        for (const auto& n2 : status["store_requests"]["writes"]) writes += n2.get<std::uint64_t>();
     }
     EXPECT_EQ(starts, 2400U);
     EXPECT_LT(conflicts * 20, commits);
