--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -112,7 +112,7 @@
     });
 }
 
-// Writes machine types that have changed to the state service.
+// Writes machine types that have changed to the key-value store.
 void Autoscaler::on_types(const std::vector<wire::MachineType>& types) {
     const Json value = wire::types_to_json(types);
     if (value == wire::types_to_json(state_cache_.machine_types())) return;
--- a/src/loop/http_client.h
+++ b/src/loop/http_client.h
@@ -1,4 +1,4 @@
-/// HTTP/1.1 client on the event loop, for the state service, the cloud and workers.
+/// HTTP/1.1 client on the event loop, for the key-value store, the cloud and workers.
 #pragma once
 #include <cstddef>
 #include <cstdint>
