--- a/src/cluster/autoscaler_election.cpp
+++ b/src/cluster/autoscaler_election.cpp
@@ -2,6 +2,7 @@
 
 #include "base/log.h"
 #include "store/keys.h"
+#include "store/records.h"
 
 namespace zincdyke {
 namespace {
@@ -24,7 +25,8 @@
     state_ = State::awaiting_result;
     Transaction txn;
     txn.conditions.push_back({keys::autoscaler_leader, state_cache_.version(keys::autoscaler_leader)});
-    txn.writes.push_back({keys::autoscaler_leader, Json{{"node", settings_.node.value()}}, session_lease});
+    txn.writes.push_back(
+        {keys::autoscaler_leader, records::encode_autoscaler_leader(settings_.node), session_lease});
     store_.commit(txn, RequestPriority::lease, [this](const CommitResult& result) {
         if (result.outcome == Outcome::ok)
             log::info("event=autoscaler_leader_elected revision={}", result.revision.value());
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -5,6 +5,7 @@
 
 #include "base/log.h"
 #include "cluster/rendezvous_hash.h"
+#include "store/records.h"
 
 namespace zincdyke {
 namespace {
@@ -60,7 +61,7 @@
     is_commit_under_way_ = true;
     Transaction txn;
     txn.conditions.push_back({key, state_cache_.version(key)});
-    txn.writes.push_back({key, Json{{"format", level}}, std::nullopt});
+    txn.writes.push_back({key, records::encode_format_level(level), std::nullopt});
     store_.commit(txn, RequestPriority::report, [this, key, txn, event](const CommitResult& result) {
         is_commit_under_way_ = false;
         if (result.outcome != Outcome::ok) return;
--- a/src/cluster/shard_leadership.cpp
+++ b/src/cluster/shard_leadership.cpp
@@ -5,6 +5,7 @@
 #include "base/log.h"
 #include "cluster/rendezvous_hash.h"
 #include "store/keys.h"
+#include "store/records.h"
 
 namespace zincdyke {
 namespace {
@@ -85,7 +86,7 @@
     Transaction txn;
     const std::string key = keys::shard(shard);
     txn.conditions.push_back({key, state_cache_.version(key)});
-    txn.writes.push_back({key, Json{{"owner", leader.value()}, {"inc", incarnation.value()}}, std::nullopt});
+    txn.writes.push_back({key, records::encode_shard_leader(leader, incarnation), std::nullopt});
     store_.commit(txn, RequestPriority::lease, std::move(done));
 }
 
--- a/src/jobs/job_record_writer.cpp
+++ b/src/jobs/job_record_writer.cpp
@@ -5,6 +5,7 @@
 #include "base/log.h"
 #include "jobs/committed_records.h"
 #include "store/keys.h"
+#include "store/records.h"
 
 namespace zincdyke {
 namespace {
@@ -16,7 +17,7 @@
                                  StateCache& state_cache)
     : env_(env), settings_(settings), store_(store), state_cache_(state_cache) {}
 
-Json done_record(const Job& job) { return Json{{"s", "done"}, {"n", job.spec.tasks}}; }
+Json final_record(const Job& job) { return records::encode_final_state({!job.cancelled, job.spec.tasks}); }
 
 void JobRecordWriter::close_job(const JobId& id) {
     const Job* job = state_cache_.job(id);
@@ -25,8 +26,7 @@
     Transaction transaction;
     transaction.conditions.push_back({keys::job(id), job->version});
     transaction.writes.push_back({keys::job(id), std::nullopt, std::nullopt});
-    Json final_record = job->cancelled ? Json{{"s", "withdrawn"}} : done_record(*job);
-    transaction.writes.push_back({keys::final_state(id), std::move(final_record), std::nullopt});
+    transaction.writes.push_back({keys::final_state(id), final_record(*job), std::nullopt});
     for (const auto& key : state_cache_.written_pages(*job)) {
         // The rest are deleted later, as orphaned pages.
         if (transaction.writes.size() == settings_.strictest_limits.txn_ops) break;
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -31,7 +31,7 @@
     std::set<JobId> resizing_;
 };
 
-/// The value of a job's final record, its tasks being done.
-[[nodiscard]] Json done_record(const Job& job);
+/// The value of the final record of a job that is over: cancelled, or else done.
+[[nodiscard]] Json final_record(const Job& job);
 
 }  // namespace zincdyke
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -94,9 +94,8 @@
     store_.get(keys::final_state(id), RequestPriority::user, [this, id, done](const GetResult& record) {
         if (record.outcome == Outcome::not_found) return done(NoSuchJob{});
         if (record.outcome != Outcome::ok) return done(LookupFailed{});
-        const FinalState state{
-            record.value.value("s", "") == "done" ? wire::Phase::done : wire::Phase::cancelled,
-            record.value.value("n", std::int64_t{0})};
+        const auto [is_done, tasks] = records::decode_final_state(record.value);
+        const FinalState state{is_done ? wire::Phase::done : wire::Phase::cancelled, tasks};
         final_states_.put(id, state);
         done(state);
     });
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "base/log.h"
+#include "store/records.h"
 
 namespace zincdyke {
 namespace {
@@ -65,14 +66,14 @@
     const std::string key = keys::team_lock(team);
     Transaction transaction;
     transaction.conditions.push_back({key, state_cache_.version(key)});
-    transaction.writes.push_back({key, Json{{"node", self_.value()}}, std::nullopt});
+    transaction.writes.push_back({key, records::encode_team_lock_holder(self_), std::nullopt});
     store_.commit(transaction, RequestPriority::report, [this, team, key](const CommitResult& result) {
         if (result.outcome == Outcome::ok) {
             Lock& lock = locks_[team];
             lock.state = LockState::catching_up;
             lock.token = lock.last_commit = lock.complete_from = result.revision;
             log::info("event=team_lock_acquired team={} token={}", team.value(), result.revision.value());
-            state_cache_.apply({key, Json{{"node", self_.value()}}, result.revision});
+            state_cache_.apply({key, records::encode_team_lock_holder(self_), result.revision});
             return catch_up(team);
         }
         env_.after(result.outcome == Outcome::conflict ? Duration(0) : retry_delay,
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -196,7 +196,7 @@
     if (state_cache_.version(page_key) != Revision{} && writes.size() + writes_of_job_end < max_writes)
         writes.push_back({page_key, std::nullopt, std::nullopt});
     writes.push_back({job_key, std::nullopt, std::nullopt});
-    writes.push_back({keys::final_state(page.job), done_record(job), std::nullopt});
+    writes.push_back({keys::final_state(page.job), final_record(job), std::nullopt});
 }
 
 BuiltTransaction TransactionBuilder::finish() && {
--- a/src/workers/http_messages.cpp
+++ b/src/workers/http_messages.cpp
@@ -3,14 +3,14 @@
 namespace zincdyke::http_messages {
 
 HttpResponse lease_renewed(wire::FencingToken token, const std::vector<wire::Command>& commands) {
-    return {200, wire::encode_commands(token, commands), -1};
+    return HttpResponse::ok(wire::encode_commands(token, commands));
 }
 
 HttpResponse not_leader(const std::optional<NodeName>& leader) {
-    return {421, wire::encode_redirect(leader), -1};
+    return HttpResponse::misdirected(wire::encode_redirect(leader));
 }
 
-HttpResponse unavailable() { return {503, "{}", 1}; }
+HttpResponse unavailable() { return HttpResponse::service_unavailable(1); }
 
 HttpRequest commands(wire::FencingToken token, const std::vector<wire::Command>& commands,
                      std::uint64_t agent_epoch) {
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -123,29 +123,15 @@
     committer_.commit_release(status.task, status.attempt, id, release_reason(status.cause));
 }
 
-ReleaseReason TaskReconciler::reason_of(AbsenceProof proof) {
-    switch (proof) {
-        case AbsenceProof::none:
-            return ReleaseReason::no_cause;
-        case AbsenceProof::missing_from_heartbeat:
-            return ReleaseReason::missing_from_heartbeat;
-        case AbsenceProof::start_not_acknowledged:
-            return ReleaseReason::start_not_acknowledged;
-        case AbsenceProof::never_started:
-            return ReleaseReason::never_started;
-    }
-    return ReleaseReason::no_cause;
-}
-
-TaskReconciler::AbsenceProof TaskReconciler::prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
+std::optional<ReleaseReason> TaskReconciler::prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
                                                            const StartDelivery* delivery) {
-    if (delivery != nullptr && delivery->was_observed) return AbsenceProof::missing_from_heartbeat;
+    if (delivery != nullptr && delivery->was_observed) return ReleaseReason::missing_from_heartbeat;
     // The lease under which it was sent is over, or response after response with it was lost.
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
-        return AbsenceProof::start_not_acknowledged;
-    if (job.cancelled || heartbeat.notice_s || has_gang_failed(job)) return AbsenceProof::never_started;
-    return AbsenceProof::none;
+        return ReleaseReason::start_not_acknowledged;
+    if (job.cancelled || heartbeat.notice_s || has_gang_failed(job)) return ReleaseReason::never_started;
+    return std::nullopt;
 }
 
 // What is placed on the machine and not in its heartbeat is to be started or, by proof, over.
@@ -158,12 +144,10 @@
     // new epoch must not be told to start it again, or it would run while its successor is started elsewhere.
     if (job == nullptr || committer_.has_pending_end(ref, attempt.attempt)) return std::nullopt;
     const StartDelivery* delivery = starts_.delivery(id, attempt);
-    const AbsenceProof proof = prove_absence(heartbeat, *job, delivery);
-    if (proof != AbsenceProof::none) {
+    if (const auto reason = prove_absence(heartbeat, *job, delivery)) {
         // Only a heartbeat that shows our term is proof: no start of an earlier leader counts any more, and
         // those in our responses to earlier heartbeats were executed or dropped before this one was sent.
-        if (heartbeat.token.term == term)
-            committer_.commit_release(ref, attempt.attempt, id, reason_of(proof));
+        if (heartbeat.token.term == term) committer_.commit_release(ref, attempt.attempt, id, *reason);
         return std::nullopt;
     }
     if (delivery != nullptr && machine.link.receives_responses()) {
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -29,21 +29,12 @@
                                                        const wire::Heartbeat& heartbeat, Term term);
     /// Stops for all that the heartbeat shows of cancelled jobs: right also in response to an old heartbeat.
     [[nodiscard]] std::vector<wire::Command> stops_of_cancelled(const wire::Heartbeat& heartbeat) const;
-    /// Commits that all attempts placed on the machine are over; `reason` is for the log and must be a
-    /// literal.
+    /// Commits that all attempts placed on the machine are over; `reason` is for the log.
     void release_all(const MachineId& id, ReleaseReason reason);
 
   private:
     // Responses with the same start before it is taken as never acknowledged.
     static constexpr int max_start_sends = 2;
-    // What a heartbeat that does not mention a task proves of it.
-    enum class AbsenceProof : std::uint8_t {
-        none,                    // it may still start
-        missing_from_heartbeat,  // the worker had reported it: over
-        start_not_acknowledged,  // its start was lost, or its lease is over: never began
-        never_started            // no start is wanted any more
-    };
-    static ReleaseReason reason_of(AbsenceProof proof);
     [[nodiscard]] bool is_placed_on(const MachineId& id, const wire::TaskStatus& status) const;
     std::optional<wire::Command> reconcile_reported(const MachineId& id, const wire::Heartbeat& heartbeat,
                                                     const wire::TaskStatus& status, Term term);
@@ -54,8 +45,9 @@
     std::optional<wire::Command> reconcile_absent(const MachineId& id, Machine& machine,
                                                   const wire::Heartbeat& heartbeat, const TaskRef& ref,
                                                   Term term);
-    static AbsenceProof prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
-                                      const StartDelivery* delivery);
+    // Why a task that the heartbeat does not mention is over or never began; nothing: it may still start.
+    static std::optional<ReleaseReason> prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
+                                                      const StartDelivery* delivery);
     const Settings& settings_;
     const StateCache& state_cache_;
     const ClusterCoordinator& cluster_;
