--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -1,6 +1,7 @@
-/// Commits what happens to tasks: starts before they are ordered, ends before they are told. Those of one job
-/// come together at its committer (ClusterCoordinator::committer_of), whoever leads the machines: a page of
-/// tasks that every leader wrote for itself would cost a conflict for each write that counted.
+/// Commits what happens to tasks: a start before its machine is commanded, an end before its user learns of
+/// it. Those of one job come together at its committer (ClusterCoordinator::committer_of), whoever leads the
+/// machines: a page of tasks that every leader wrote for itself would cost a conflict for each write that
+/// counted.
 #pragma once
 #include <cstdint>
 #include <set>
