--- a/tests/deployment_helpers.h
+++ b/tests/deployment_helpers.h
@@ -1,7 +1,11 @@
-// What the stories share: jobs by number, users who poll to the end, and the verdict.
+/// What tests of a simulated deployment share: jobs by number, users who poll to the end, and the verdict.
 #pragma once
 #include <gtest/gtest.h>
 
+#include <set>
+#include <string>
+#include <vector>
+
 #include "fakes/simulated_deployment.h"
 
 namespace zincdyke::testing {
@@ -12,7 +16,7 @@
     return b;
 }
 
-// Polls as users do until each job's final state is told; false when that takes longer than `most`.
+/// Polls as users do until each job's final state is told; false when that takes longer than `most`.
 inline bool all_reach_final_state(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
                                   double most) {
     double end = deployment.now() + most;
@@ -71,7 +75,7 @@
     return ids;
 }
 
-// After the troubles: all is told its end, in time, no room stood idle, and every rule held.
+/// After the troubles: all is told its end, in time, no room stood idle, and every rule held.
 inline void expect_recovery(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
                             double most = 200) {
     deployment.checker.troubles_over = deployment.now();
@@ -87,4 +91,64 @@
     return o;
 }
 
+/// The first controller from `from` on that is up.
+inline int first_running_controller(SimulatedDeployment& deployment, int from = 0) {
+    while (!deployment.is_running(from % deployment.controller_count())) ++from;
+    return from % deployment.controller_count();
+}
+
+inline int autoscaler_leader(SimulatedDeployment& deployment) {
+    const std::string name =
+        deployment.controller(first_running_controller(deployment)).state_cache().autoscaler_leader().value();
+    for (int n = 0; n < deployment.controller_count(); ++n)
+        if (deployment.controller_name(n) == name) return n;
+    return -1;
+}
+
+inline int leader_of(SimulatedDeployment& deployment, const std::string& machine) {
+    for (int n = 0; n < deployment.controller_count(); ++n)
+        if (deployment.is_running(n) &&
+            deployment.controller(n).cluster().leader_term(zincdyke::MachineId(machine)))
+            return n;
+    return -1;
+}
+
+/// Tasks of these jobs that are on these machines.
+inline int tasks_on_machines(SimulatedDeployment& deployment, const std::vector<std::string>& machines,
+                             const std::set<std::string>& jobs) {
+    int n = 0;
+    for (const auto& id : machines) {
+        const auto found = deployment.workers.all().find(id);
+        if (found == deployment.workers.all().end()) continue;
+        for (const auto& [key, t] : found->second.tasks)
+            n += jobs.contains(t.job) && t.phase != "ended" ? 1 : 0;
+    }
+    return n;
+}
+
+inline void poll_accepted(SimulatedDeployment& deployment, const std::vector<std::string>& ids) {
+    for (const auto& id : ids)
+        if (deployment.is_accepted(id)) deployment.poll(id);
+}
+
+/// No capacity of a limited team leaked, whoever starts its next task.
+inline void expect_no_quota_in_use(SimulatedDeployment& deployment, const std::vector<std::string>& teams) {
+    deployment.run(3);
+    for (int n = 0; n < deployment.controller_count(); ++n)
+        for (const auto& team : teams)
+            EXPECT_EQ(deployment.controller(n).state_cache().quota_usage(zincdyke::TeamName(team)).cpu, 0)
+                << team << " at " << n;
+}
+
+inline void set_links(SimulatedDeployment& deployment, const std::string& node,
+                      const std::vector<std::string>& machines, LinkState l) {
+    for (const auto& id : machines) deployment.set_link(node, id, l);
+}
+
+inline std::vector<std::string> machine_ids(SimulatedDeployment& deployment) {
+    std::vector<std::string> out;
+    for (const auto& [id, m] : deployment.workers.all()) out.push_back(id);
+    return out;
+}
+
 }  // namespace zincdyke::testing
