--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -62,7 +62,7 @@
     for (const auto& [job_class, steps] : times.by_class())
         for (std::size_t i = 0; i < steps.size(); ++i)
             by_class[job_class][step_name(static_cast<StartStep>(i))] = steps[i];
-    return {{"bounds_s", StartTimes::bounds_s}, {"by_class", std::move(by_class)}};
+    return {{"bounds_s", StartTimes::bucket_bounds_s}, {"by_class", std::move(by_class)}};
 }
 
 }  // namespace
--- a/src/workers/agent_link.cpp
+++ b/src/workers/agent_link.cpp
@@ -4,11 +4,11 @@
 
 namespace zincdyke {
 
-Duration certain_lease_expiry(double lease_s) { return seconds(lease_s * 1.002) + millis(100); }
+Duration max_lease_duration(double lease_s) { return seconds(lease_s * 1.002) + millis(100); }
 
 void AgentLink::begin_term(Term term) {
     term_ = term;
-    has_shown_term_ = has_sent_heartbeat_ = receives_responses_ = false;
+    has_received_term_ = has_sent_heartbeat_ = receives_responses_ = false;
     token_count_ = 0;
     heartbeat_requested_ = {};
 }
@@ -22,26 +22,26 @@
     // A new epoch begins when no response arrived for a lease, however many were written.
     if (heartbeat.sequence.agent_epoch > sequence_.agent_epoch) {
         receives_responses_ = false;
-        answered_number_ = 0;
+        last_answered_number_ = 0;
     }
-    if (shows_term && !has_shown_term_) receives_responses_ = true;
-    if (is_from_agent && answered_number_ > 0 && heartbeat.sequence.number == answered_number_ + 1)
+    if (shows_term && !has_received_term_) receives_responses_ = true;
+    if (is_from_agent && last_answered_number_ > 0 && heartbeat.sequence.number == last_answered_number_ + 1)
         receives_responses_ = true;
     if (is_from_agent && receives_responses_) last_connected_ = now;
     sequence_ = heartbeat.sequence;
-    if (shows_term) has_shown_term_ = true;
+    if (shows_term) has_received_term_ = true;
     if (is_from_agent) has_sent_heartbeat_ = true;
 }
 
-void AgentLink::note_received(SteadyTime now) { last_received_ = std::max(last_received_, now); }
+void AgentLink::record_message_received(SteadyTime now) { last_received_ = std::max(last_received_, now); }
 
-void AgentLink::expire(Term term) {
+void AgentLink::mark_lease_expired(Term term) {
     expired_epoch_ = sequence_.agent_epoch;
     expired_term_ = term;
     receives_responses_ = false;
 }
 
-void AgentLink::note_heartbeat_requested(SteadyTime now) {
+void AgentLink::record_heartbeat_requested(SteadyTime now) {
     heartbeat_requested_ = now;
     ++token_count_;
 }
@@ -50,9 +50,9 @@
     return sequence <= sequence_ || (expired_term_ == term && sequence.agent_epoch <= expired_epoch_);
 }
 
-bool AgentLink::is_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now, double lease_s) const {
+bool AgentLink::is_lease_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now, double lease_s) const {
     return term_ == term && has_sent_heartbeat_ && agent_epoch == sequence_.agent_epoch &&
-           now - last_received_ > certain_lease_expiry(lease_s);
+           now - last_received_ > max_lease_duration(lease_s);
 }
 
 bool AgentLink::was_heartbeat_requested(SteadyTime now, Duration interval) const {
--- a/src/workers/capacity_tracker.cpp
+++ b/src/workers/capacity_tracker.cpp
@@ -60,10 +60,10 @@
     if (std::exchange(machine_types_version_, current) != current) ++version_;
 }
 
-void CapacityTracker::reserve(const wire::RoundId& round, const Resources& each,
-                              const std::vector<wire::PlacementOffer>& offers) {
+void CapacityTracker::reserve_offers(const wire::RoundId& round, const Resources& each,
+                                     const std::vector<wire::PlacementOffer>& offers) {
     if (offers.empty()) return;
-    release(round);
+    release_offers(round);
     RoundReservation& reservation = rounds_[round];
     reservation.each = each;
     reservation.expires = env_.now() + reservation_timeout;
@@ -74,7 +74,7 @@
     }
 }
 
-void CapacityTracker::release(const wire::RoundId& round) {
+void CapacityTracker::release_offers(const wire::RoundId& round) {
     const auto found = rounds_.find(round);
     if (found == rounds_.end()) return;
     for (const auto& id : found->second.machines) {
@@ -91,7 +91,7 @@
     std::vector<wire::RoundId> expired;
     for (const auto& [round, reservation] : rounds_)
         if (reservation.expires < now) expired.push_back(round);
-    for (const auto& round : expired) release(round);
+    for (const auto& round : expired) release_offers(round);
 }
 
 void CapacityTracker::reserve_start(const TaskRef& task, const MachineId& id, const Resources& need) {
--- a/src/workers/capacity_tracker.h
+++ b/src/workers/capacity_tracker.h
@@ -31,11 +31,11 @@
     /// Periodic: capacity depends on the machine types as well.
     void refresh_machine_types();
 
-    /// Reserves `each` once for every offer of the round, until `release` or 2.5 s have passed.
-    void reserve(const wire::RoundId& round, const Resources& each,
-                 const std::vector<wire::PlacementOffer>& offers);
+    /// Reserves `each` once for every offer of the round, until `release_offers` or 2.5 s have passed.
+    void reserve_offers(const wire::RoundId& round, const Resources& each,
+                        const std::vector<wire::PlacementOffer>& offers);
     /// The round is decided: releases what it reserved.
-    void release(const wire::RoundId& round);
+    void release_offers(const wire::RoundId& round);
     /// Periodic: releases what no decision came for.
     void expire_reservations();
 
@@ -44,7 +44,7 @@
     /// Releases what `reserve_start` reserved.
     void release_start(const TaskRef& task);
     /// Whether a start of the task waits to be committed here.
-    [[nodiscard]] bool is_starting(const TaskRef& task) const { return starting_.contains(task); }
+    [[nodiscard]] bool is_start_pending(const TaskRef& task) const { return starting_.contains(task); }
 
     /// How often free capacity was computed, not taken from the cache.
     [[nodiscard]] std::uint64_t computation_count() const { return computation_count_; }
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -74,7 +74,7 @@
     Machine* machine = registry_.find(id);
     const auto term = cluster_.leader_term(id);
     if (machine == nullptr || !term || !should_request_heartbeat(id, *machine, *term)) return;
-    machine->link.note_heartbeat_requested(env_.now());
+    machine->link.record_heartbeat_requested(env_.now());
     ++concurrent_heartbeat_requests_;
     ++heartbeat_request_count_;
     post(id, *machine, *term, {}, [this](const HttpResponse&) { --concurrent_heartbeat_requests_; });
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -34,7 +34,7 @@
         const auto leader = cluster_.is_synced() ? cluster_.leader_of(id) : std::nullopt;
         return reply(http_messages::not_leader(leader));
     }
-    if (!registry_.can_hold(id)) return reply(http_messages::unavailable());
+    if (!registry_.can_register(id)) return reply(http_messages::unavailable());
     ++counts_.heartbeats;
     if (is_stale(heartbeat, *term)) {
         ++counts_.stale_heartbeats;
@@ -43,7 +43,7 @@
     Machine& machine = registry_.find_or_add(id);
     accept(machine, heartbeat, *term);
     const auto commands = reconciler_.reconcile(id, machine, heartbeat, *term);
-    machine.link.note_answered(heartbeat.sequence.number);
+    machine.link.record_heartbeat_answered(heartbeat.sequence.number);
     if (!machine.ended_attempts.empty() || heartbeat.tasks.empty()) notifier_.on_capacity_freed(id, machine);
     if (!commands.empty() || !should_hold(machine, heartbeat))
         return renew_lease(heartbeat, *term, commands, reply);
@@ -64,19 +64,20 @@
     // Nothing of this epoch came for longer than a lease: what comes now was held on its way, or its sender
     // was told our term by others' means. Either way this one heartbeat does not prove that the agent
     // receives our responses; the next does.
-    const bool is_overdue = link.is_overdue(heartbeat.sequence.agent_epoch, term, now, settings_.lease_s);
-    link.note_received(now);
+    const bool is_overdue =
+        link.is_lease_overdue(heartbeat.sequence.agent_epoch, term, now, settings_.lease_s);
+    link.record_message_received(now);
     lease_monitor_.on_heartbeat(heartbeat.machine);
     log::debug(
         "event=heartbeat machine={} agent_epoch={} number={} shown_term={} term={} receives_responses={} "
         "answered={} at={:.3f}",
         heartbeat.machine.value(), heartbeat.sequence.agent_epoch, heartbeat.sequence.number,
-        heartbeat.token.term.value(), term.value(), link.receives_responses(), link.answered_number(),
+        heartbeat.token.term.value(), term.value(), link.receives_responses(), link.last_answered_number(),
         to_seconds(now.time_since_epoch()));
     answer_superseded(heartbeat.machine, term);
-    if (is_overdue) link.forget_answered();
+    if (is_overdue) link.clear_last_answered_number();
     machine.apply(heartbeat, term, HeartbeatSource::agent, now);
-    if (is_overdue) link.mark_unacknowledged();
+    if (is_overdue) link.mark_responses_unacknowledged();
 }
 
 // An older heartbeat may still be held: its worker has moved on, and would not execute a start in the
--- a/src/workers/leadership_announcer.cpp
+++ b/src/workers/leadership_announcer.cpp
@@ -58,7 +58,7 @@
         if (target.is_in_flight || target.next_attempt > now) continue;
         const auto term = cluster_.leader_term(id);
         const Machine* machine = registry_.find(id);
-        const bool is_known = term && machine != nullptr && machine->link.has_shown(*term);
+        const bool is_known = term && machine != nullptr && machine->link.has_received_term(*term);
         if (term && !is_known) announce(id, target, *term);
     }
 }
@@ -99,7 +99,7 @@
     if (machine.link.is_stale(heartbeat->sequence, term)) return;
     machine.apply(*heartbeat, term, HeartbeatSource::command_response, env_.now());
     // Its last heartbeat that was answered was sent before this response: a lease runs from here at most.
-    machine.link.note_received(env_.now());
+    machine.link.record_message_received(env_.now());
 }
 
 void LeadershipAnnouncer::schedule_retry(Target& target) const {
--- a/src/workers/lease_monitor.cpp
+++ b/src/workers/lease_monitor.cpp
@@ -27,7 +27,7 @@
     for (const auto& [id, tasks] : state_cache_.tasks_by_machine())
         if (state_cache_.shard_of(id) == shard) registry_.find_or_add(id);
     for (auto& [id, machine] : registry_)
-        if (state_cache_.shard_of(id) == shard) machine.first_known = now;
+        if (state_cache_.shard_of(id) == shard) machine.monitored_since = now;
 }
 
 void LeaseMonitor::transfer_silent_shards() {
@@ -69,19 +69,19 @@
 void LeaseMonitor::expire_if_due(const MachineId& id, Machine& machine) {
     const auto term = cluster_.leader_term(id);
     const SteadyTime now = env_.now();
-    if (!term || !machine.link.has_shown(*term) ||
-        now - machine.link.last_received() <= certain_lease_expiry(settings_.lease_s))
+    if (!term || !machine.link.has_received_term(*term) ||
+        now - machine.link.last_received() <= max_lease_duration(settings_.lease_s))
         return;
     log::debug("event=lease_expired machine={} last_heartbeat={:.3f} at={:.3f}", id.value(),
                to_seconds(machine.link.last_received().time_since_epoch()),
                to_seconds(now.time_since_epoch()));
-    machine.link.expire(*term);
+    machine.link.mark_lease_expired(*term);
     reconciler_.release_all(id, ReleaseReason::lease_expired);
 }
 
 bool LeaseMonitor::is_forgettable(const MachineId& id, const Machine& machine) const {
     if (!state_cache_.tasks_on(id).empty()) return false;
-    const SteadyTime last_sign = std::max(machine.link.last_received(), machine.first_known);
+    const SteadyTime last_sign = std::max(machine.link.last_received(), machine.monitored_since);
     return !cluster_.leader_term(id) ||
            env_.now() - last_sign > seconds(settings_.lease_s * forget_after_leases);
 }
--- a/src/workers/machine_availability.cpp
+++ b/src/workers/machine_availability.cpp
@@ -16,7 +16,7 @@
 
 bool MachineAvailability::is_schedulable(const MachineId& id, const Machine& machine) const {
     const auto term = cluster_.leader_term(id);
-    return term && machine.link.is_connected(*term) && !machine.notice_s && !drains_.contains(id) &&
+    return term && machine.link.is_connected(*term) && !machine.spot_notice_s && !drains_.contains(id) &&
            !cordons_.is_cordoned(id) &&
            env_.now() - machine.link.last_received() < seconds(settings_.report_s * 2.5);
 }
--- a/src/workers/machine_cordons.cpp
+++ b/src/workers/machine_cordons.cpp
@@ -43,7 +43,7 @@
     return found == machines_.end() ? 0 : found->second.error_count;
 }
 
-const std::set<MachineId>* MachineCordons::machines_failed_by(const JobId& job) const {
+const std::set<MachineId>* MachineCordons::machines_with_failed_tasks(const JobId& job) const {
     const auto found = failed_jobs_.find(job);
     return found == failed_jobs_.end() ? nullptr : &found->second;
 }
--- a/src/workers/machine_cordons.h
+++ b/src/workers/machine_cordons.h
@@ -28,7 +28,7 @@
     /// Errors since the last task that completed.
     [[nodiscard]] int error_count(const MachineId& id) const;
     /// Where tasks of the job failed; null: nowhere.
-    [[nodiscard]] const std::set<MachineId>* machines_failed_by(const JobId& job) const;
+    [[nodiscard]] const std::set<MachineId>* machines_with_failed_tasks(const JobId& job) const;
 
   private:
     static constexpr std::size_t max_failed_jobs = 1000;
--- a/src/workers/machine_registry.cpp
+++ b/src/workers/machine_registry.cpp
@@ -10,10 +10,10 @@
     zone = heartbeat.zone;
     spot = heartbeat.spot;
     address = heartbeat.address;
-    if (heartbeat.notice_s && !notice_s)
+    if (heartbeat.notice_s && !spot_notice_s)
         log::info("event=spot_notice machine={} seconds={:.1f} tasks={}", heartbeat.machine.value(),
                   *heartbeat.notice_s, heartbeat.tasks.size());
-    notice_s = heartbeat.notice_s;
+    spot_notice_s = heartbeat.notice_s;
     cached_capacity.free.reset();
     active_tasks.clear();
     ended_attempts.clear();
@@ -35,13 +35,13 @@
     return found == machines_.end() ? nullptr : &found->second;
 }
 
-bool MachineRegistry::can_hold(const MachineId& id) const {
+bool MachineRegistry::can_register(const MachineId& id) const {
     return machines_.size() < max_machines || machines_.contains(id);
 }
 
 Machine& MachineRegistry::find_or_add(const MachineId& id) {
     Machine& machine = machines_[id];
-    if (machine.first_known == SteadyTime{}) machine.first_known = env_.now();
+    if (machine.monitored_since == SteadyTime{}) machine.monitored_since = env_.now();
     return machine;
 }
 
--- a/src/workers/machine_registry.h
+++ b/src/workers/machine_registry.h
@@ -25,11 +25,11 @@
 struct Machine {
     std::string type, zone, address;
     bool spot = false;
-    std::optional<double> notice_s;        // the cloud takes the machine back in so many seconds
+    std::optional<double> spot_notice_s;   // the cloud takes the machine back in so many seconds
     std::set<TaskRef> active_tasks;        // reported and not ended
     std::set<TaskAttempt> ended_attempts;  // reported as ended: they take no capacity any more
     AgentLink link;
-    SteadyTime first_known{};  // since when its silence counts
+    SteadyTime monitored_since{};  // since when its silence counts
     CachedCapacity cached_capacity;
 
     /// Takes over a message that is newer than all before, under this node's `term`.
@@ -60,7 +60,7 @@
     /// Whether the machine is known.
     [[nodiscard]] bool contains(const MachineId& id) const { return machines_.contains(id); }
     /// Whether the machine is known or may still be added.
-    [[nodiscard]] bool can_hold(const MachineId& id) const;
+    [[nodiscard]] bool can_register(const MachineId& id) const;
     /// A machine that is new here counts as known from now.
     Machine& find_or_add(const MachineId& id);
     /// Nothing happens where the machine is unknown.
--- a/src/workers/machine_status_reporter.cpp
+++ b/src/workers/machine_status_reporter.cpp
@@ -35,7 +35,7 @@
     SteadyTime& idle_since = idle_since_.try_emplace(id, now).first->second;
     if (!is_idle) idle_since = now;
     // One whose heartbeats arrive but that does not receive our responses is unreachable all the same.
-    const SteadyTime last_connected = std::max(machine.link.last_connected(), machine.first_known);
+    const SteadyTime last_connected = std::max(machine.link.last_connected(), machine.monitored_since);
     wire::MachineStatus status;
     status.id = id;
     status.type = machine.type;
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -22,7 +22,7 @@
             candidates, request.need, request.tasks.size(),
             {.each_zone = job->spec.one_zone && !placement.zone, .spread_replicas = job->spec.is_service()});
         counts_.offers += response.offers.size();
-        parts_.capacity.reserve(request.round, request.need, response.offers);
+        parts_.capacity.reserve_offers(request.round, request.need, response.offers);
     }
     parts_.peers.send(request.gatherer, std::move(response));
 }
@@ -65,7 +65,7 @@
                                has_image(id, machine, placement.request.image),
                                std::min(parts_.cordons.error_count(id), max_error_penalty),
                                0};
-    const auto* failed_on = parts_.cordons.machines_failed_by(job.spec.id);
+    const auto* failed_on = parts_.cordons.machines_with_failed_tasks(job.spec.id);
     if (failed_on != nullptr && failed_on->contains(id)) candidate.penalty += failed_here_penalty;
     if (job.spec.is_service()) candidate.replicas = replicas_on(id, job.spec.id);
     return candidate;
@@ -133,7 +133,7 @@
 }
 
 void PlacementScorer::on_placement_decision(const wire::PlacementDecision& decision) {
-    parts_.capacity.release(decision.round);
+    parts_.capacity.release_offers(decision.round);
     std::vector<TaskIndex> rejected;
     for (const auto& assignment : decision.accepted)
         if (!try_start(decision.round, {decision.job, assignment.task}, assignment.machine))
@@ -148,14 +148,14 @@
     const Job* job = state_cache_.job(ref.job);
     Machine* machine = parts_.registry.find(id);
     if (job == nullptr || machine == nullptr || !parts_.availability.is_schedulable(id, *machine) ||
-        parts_.capacity.is_starting(ref) ||
+        parts_.capacity.is_start_pending(ref) ||
         !parts_.capacity.free_capacity(id, *machine).covers(job->spec.need))
         return false;
     deferred_since_.erase(id);
     parts_.capacity.reserve_start(ref, id, job->spec.need);
     StartProgress progress;
-    progress.queued = millis(env_.wall().value() - job->submitted.value());
-    progress.assigned = env_.now();
+    progress.queue_time = millis(env_.wall().value() - job->submitted.value());
+    progress.assigned_at = env_.now();
     parts_.committer.commit_start(ref, id, machine->zone,
                                   [this, round, ref, id, progress](bool is_committed) {
                                       on_start_decided(round, ref, id, progress, is_committed);
--- a/src/workers/start_times.cpp
+++ b/src/workers/start_times.cpp
@@ -20,18 +20,18 @@
     return "";
 }
 
-Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running) {
+Duration step_duration(const StartProgress& progress, StartStep step, SteadyTime running) {
     switch (step) {
         case StartStep::queue:
-            return progress.queued;
+            return progress.queue_time;
         case StartStep::commit:
-            return progress.committed - progress.assigned;
+            return progress.committed_at - progress.assigned_at;
         case StartStep::delivery:
-            return progress.sent - progress.committed;
+            return progress.sent_at - progress.committed_at;
         case StartStep::image:
-            return progress.image_ready - progress.sent;
+            return progress.image_ready_at - progress.sent_at;
         case StartStep::gang:
-            return running - progress.image_ready;
+            return running - progress.image_ready_at;
     }
     return {};
 }
@@ -40,8 +40,9 @@
     if (by_class_.size() >= max_classes && !by_class_.contains(job_class)) return;
     Steps& steps = by_class_[job_class];
     for (std::size_t i = 0; i < start_step_count; ++i) {
-        const double took = to_seconds(step_time(progress, static_cast<StartStep>(i), running));
-        const auto bucket = std::lower_bound(bounds_s.begin(), bounds_s.end(), took) - bounds_s.begin();
+        const double took = to_seconds(step_duration(progress, static_cast<StartStep>(i), running));
+        const auto bucket =
+            std::lower_bound(bucket_bounds_s.begin(), bucket_bounds_s.end(), took) - bucket_bounds_s.begin();
         ++steps[i][static_cast<std::size_t>(bucket)];
     }
 }
--- a/src/workers/start_times.h
+++ b/src/workers/start_times.h
@@ -23,19 +23,19 @@
 
 /// When one start passed its steps, on this node's steady clock; zero: not yet.
 struct StartProgress {
-    Duration queued{};
-    SteadyTime assigned{}, committed{}, sent{}, image_ready{};
+    Duration queue_time{};
+    SteadyTime assigned_at{}, committed_at{}, sent_at{}, image_ready_at{};
 };
 
 /// How long a step took of a start whose task runs since `running`.
-[[nodiscard]] Duration step_time(const StartProgress& progress, StartStep step, SteadyTime running);
+[[nodiscard]] Duration step_duration(const StartProgress& progress, StartStep step, SteadyTime running);
 
 /// Counts of starts by how long each step took.
 class StartTimes {
   public:
     /// Upper bounds of the buckets; the last bucket has none.
-    static constexpr std::array<double, 6> bounds_s{0.5, 1, 2, 5, 10, 30};
-    using Histogram = std::array<std::uint64_t, bounds_s.size() + 1>;
+    static constexpr std::array<double, 6> bucket_bounds_s{0.5, 1, 2, 5, 10, 30};
+    using Histogram = std::array<std::uint64_t, bucket_bounds_s.size() + 1>;
     using Steps = std::array<Histogram, start_step_count>;
     /// Counts a start whose task runs since `running`. Job classes beyond the first hundred are left out.
     void add(const std::string& job_class, const StartProgress& progress, SteadyTime running);
--- a/src/workers/start_tracker.cpp
+++ b/src/workers/start_tracker.cpp
@@ -8,7 +8,7 @@
                                 const StartProgress& progress) {
     StartProgress& start = machines_[id].progress[attempt];
     start = progress;
-    start.committed = env_.now();
+    start.committed_at = env_.now();
 }
 
 void StartTracker::on_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch) {
@@ -17,7 +17,8 @@
     delivery.agent_epoch = agent_epoch;
     ++delivery.sent_count;
     const auto start = starts.progress.find(attempt);
-    if (start != starts.progress.end() && start->second.sent == SteadyTime{}) start->second.sent = env_.now();
+    if (start != starts.progress.end() && start->second.sent_at == SteadyTime{})
+        start->second.sent_at = env_.now();
 }
 
 void StartTracker::on_observed(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
@@ -33,16 +34,16 @@
                           const Job& job) {
     const auto start = starts.progress.find({status.task, status.attempt});
     if (start == starts.progress.end() || status.phase == wire::TaskPhase::fetching) return;
-    if (start->second.image_ready == SteadyTime{}) start->second.image_ready = env_.now();
+    if (start->second.image_ready_at == SteadyTime{}) start->second.image_ready_at = env_.now();
     if (status.phase == wire::TaskPhase::waiting) return;
-    if (start->second.sent != SteadyTime{}) on_running(id, status, job, start->second);
+    if (start->second.sent_at != SteadyTime{}) on_running(id, status, job, start->second);
     starts.progress.erase(start);
 }
 
 void StartTracker::on_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
                               const StartProgress& progress) {
     const SteadyTime now = env_.now();
-    const auto step_ms = [&](StartStep step) { return step_time(progress, step, now).count() / 1000; };
+    const auto step_ms = [&](StartStep step) { return step_duration(progress, step, now).count() / 1000; };
     log::info(
         "event=task_running task={} attempt={} machine={} class={} queue_ms={} commit_ms={} delivery_ms={} "
         "image_ms={} gang_ms={}",
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -153,7 +153,7 @@
     if (delivery != nullptr && machine.link.receives_responses()) {
         log::info("event=start_not_acknowledged task={} attempt={} machine={} responses={}", ref.str(),
                   attempt.attempt, id.value(), delivery->sent_count);
-        machine.link.mark_unacknowledged();
+        machine.link.mark_responses_unacknowledged();
     }
     // Without the key-value store nothing is started: the job may be cancelled and the shard another's by
     // now.
--- a/tests/agent_link_test.cpp
+++ b/tests/agent_link_test.cpp
@@ -19,20 +19,20 @@
 TEST(AgentLink, TermThatOnlyWeToldProvesThatResponsesArrive) {
     AgentLink link;
     link.on_message(heartbeat(1, 1, Term{5}), our_term, HeartbeatSource::agent, start);
-    EXPECT_FALSE(link.has_shown(our_term));
+    EXPECT_FALSE(link.has_received_term(our_term));
     EXPECT_FALSE(link.is_connected(our_term));
     link.on_message(heartbeat(1, 2, our_term), our_term, HeartbeatSource::agent, start);
-    EXPECT_TRUE(link.has_shown(our_term));
+    EXPECT_TRUE(link.has_received_term(our_term));
     EXPECT_TRUE(link.is_connected(our_term));
 }
 
 TEST(AgentLink, HeartbeatAfterAnAnsweredOneProvesThatResponsesArrive) {
     AgentLink link;
     link.on_message(heartbeat(1, 4, Term{5}), our_term, HeartbeatSource::agent, start);
-    link.note_answered(4);
+    link.record_heartbeat_answered(4);
     link.on_message(heartbeat(1, 6, Term{5}), our_term, HeartbeatSource::agent, start);
     EXPECT_FALSE(link.receives_responses(our_term)) << "number 5 went to another controller";
-    link.note_answered(6);
+    link.record_heartbeat_answered(6);
     link.on_message(heartbeat(1, 7, Term{5}), our_term, HeartbeatSource::agent, start);
     EXPECT_TRUE(link.receives_responses(our_term));
 }
@@ -40,19 +40,19 @@
 TEST(AgentLink, NewEpochDropsTheProof) {
     AgentLink link;
     link.on_message(heartbeat(1, 1, our_term), our_term, HeartbeatSource::agent, start);
-    link.note_answered(1);
+    link.record_heartbeat_answered(1);
     link.on_message(heartbeat(2, 2, our_term), our_term, HeartbeatSource::agent, start);
     EXPECT_FALSE(link.receives_responses(our_term));
-    EXPECT_EQ(link.answered_number(), 0U);
+    EXPECT_EQ(link.last_answered_number(), 0U);
 }
 
 TEST(AgentLink, NewTermDropsAllThatTheOldOneProved) {
     AgentLink link;
     link.on_message(heartbeat(1, 1, our_term), our_term, HeartbeatSource::agent, start);
-    link.note_heartbeat_requested(start);
+    link.record_heartbeat_requested(start);
     EXPECT_EQ(link.token(our_term).count, 1U);
     const Term later{9};
-    EXPECT_FALSE(link.has_shown(later));
+    EXPECT_FALSE(link.has_received_term(later));
     EXPECT_EQ(link.token(later).count, 0U);
     link.on_message(heartbeat(1, 2, our_term), later, HeartbeatSource::agent, start);
     EXPECT_FALSE(link.is_connected(later));
@@ -72,7 +72,7 @@
     link.on_message(heartbeat(3, 10, our_term), our_term, HeartbeatSource::agent, start);
     EXPECT_TRUE(link.is_stale({3, 10}, our_term));
     EXPECT_FALSE(link.is_stale({3, 11}, our_term));
-    link.expire(our_term);
+    link.mark_lease_expired(our_term);
     EXPECT_TRUE(link.is_stale({3, 11}, our_term));
     EXPECT_FALSE(link.is_stale({4, 1}, our_term));
     EXPECT_FALSE(link.is_stale({3, 11}, Term{9})) << "another leader may have renewed it between the two";
@@ -80,13 +80,13 @@
 
 TEST(AgentLink, OverdueBeginsAfterTheLeaseHasSurelyExpired) {
     AgentLink link;
-    link.note_received(start);
+    link.record_message_received(start);
     link.on_message(heartbeat(1, 1, our_term), our_term, HeartbeatSource::agent, start);
-    const SteadyTime limit = start + certain_lease_expiry(10);
-    EXPECT_FALSE(link.is_overdue(1, our_term, limit, 10));
-    EXPECT_TRUE(link.is_overdue(1, our_term, limit + Duration(1), 10));
-    EXPECT_FALSE(link.is_overdue(2, our_term, limit + Duration(1), 10));
-    EXPECT_GT(certain_lease_expiry(10), seconds(10));
+    const SteadyTime limit = start + max_lease_duration(10);
+    EXPECT_FALSE(link.is_lease_overdue(1, our_term, limit, 10));
+    EXPECT_TRUE(link.is_lease_overdue(1, our_term, limit + Duration(1), 10));
+    EXPECT_FALSE(link.is_lease_overdue(2, our_term, limit + Duration(1), 10));
+    EXPECT_GT(max_lease_duration(10), seconds(10));
 }
 
 }  // namespace
--- a/tests/capacity_tracker_test.cpp
+++ b/tests/capacity_tracker_test.cpp
@@ -46,16 +46,16 @@
 
 TEST_F(CapacityTrackerTest, OffersReserveUntilTheDecision) {
     EXPECT_EQ(free_cpu(), 8000);
-    tracker_.reserve(round_, need_, {{id_, "a", 0}, {id_, "a", 0}});
+    tracker_.reserve_offers(round_, need_, {{id_, "a", 0}, {id_, "a", 0}});
     EXPECT_EQ(free_cpu(), 6000);
     EXPECT_FALSE(tracker_.is_idle(id_, machine()));
-    tracker_.release(round_);
+    tracker_.release_offers(round_);
     EXPECT_EQ(free_cpu(), 8000);
     EXPECT_TRUE(tracker_.is_idle(id_, machine()));
 }
 
 TEST_F(CapacityTrackerTest, OffersWithoutADecisionExpire) {
-    tracker_.reserve(round_, need_, {{id_, "a", 0}});
+    tracker_.reserve_offers(round_, need_, {{id_, "a", 0}});
     env_.stall(millis(2500));
     tracker_.expire_reservations();
     EXPECT_EQ(free_cpu(), 7000);
@@ -65,19 +65,19 @@
 }
 
 TEST_F(CapacityTrackerTest, RoundAskedTwiceReservesOnce) {
-    tracker_.reserve(round_, need_, {{id_, "a", 0}});
-    tracker_.reserve(round_, need_, {{id_, "a", 0}});
+    tracker_.reserve_offers(round_, need_, {{id_, "a", 0}});
+    tracker_.reserve_offers(round_, need_, {{id_, "a", 0}});
     EXPECT_EQ(free_cpu(), 7000);
 }
 
 TEST_F(CapacityTrackerTest, StartsReserveUntilTheyAreCommitted) {
     const TaskRef task{JobId("a"), 0};
     tracker_.reserve_start(task, id_, need_);
-    EXPECT_TRUE(tracker_.is_starting(task));
+    EXPECT_TRUE(tracker_.is_start_pending(task));
     EXPECT_EQ(free_cpu(), 7000);
     tracker_.release_start(task);
     tracker_.release_start(task);
-    EXPECT_FALSE(tracker_.is_starting(task));
+    EXPECT_FALSE(tracker_.is_start_pending(task));
     EXPECT_EQ(free_cpu(), 8000);
 }
 
--- a/tests/machine_cordons_test.cpp
+++ b/tests/machine_cordons_test.cpp
@@ -40,9 +40,9 @@
     for (const char* name : {"m1", "m2", "m3"}) cordons.on_task_failed(MachineId(name), job);
     EXPECT_TRUE(cordons.is_cordoned(MachineId("m2")));
     EXPECT_FALSE(cordons.is_cordoned(MachineId("m3")));
-    ASSERT_NE(cordons.machines_failed_by(JobId("a")), nullptr);
-    EXPECT_TRUE(cordons.machines_failed_by(JobId("a"))->contains(MachineId("m3")));
-    EXPECT_EQ(cordons.machines_failed_by(JobId("b")), nullptr);
+    ASSERT_NE(cordons.machines_with_failed_tasks(JobId("a")), nullptr);
+    EXPECT_TRUE(cordons.machines_with_failed_tasks(JobId("a"))->contains(MachineId("m3")));
+    EXPECT_EQ(cordons.machines_with_failed_tasks(JobId("b")), nullptr);
 }
 
 TEST(MachineCordons, ServiceCountsOnceAgainstAMachine) {
@@ -60,7 +60,7 @@
     for (int i = 0; i < 1000; ++i)
         cordons.on_task_failed(MachineId("other"), job_named("b" + std::to_string(i)));
     cordons.on_task_failed(MachineId("m1"), job_named("a"));
-    EXPECT_EQ(cordons.machines_failed_by(JobId("a")), nullptr);
+    EXPECT_EQ(cordons.machines_with_failed_tasks(JobId("a")), nullptr);
     EXPECT_TRUE(cordons.is_cordoned(MachineId("m1")));
 }
 
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -36,7 +36,7 @@
     const SteadyTime begun = env.now();
     registry.find_or_add(MachineId("m1"));
     env.stall(seconds(5));
-    EXPECT_EQ(registry.find_or_add(MachineId("m1")).first_known, begun);
+    EXPECT_EQ(registry.find_or_add(MachineId("m1")).monitored_since, begun);
 }
 
 TEST(MachineRegistry, HeartbeatReplacesWhatIsKnownOfTasks) {
--- a/tests/start_tracker_test.cpp
+++ b/tests/start_tracker_test.cpp
@@ -57,8 +57,8 @@
 
 TEST_F(StartTrackerTest, StepsAreCountedOnceWhenTheTaskRuns) {
     StartProgress progress;
-    progress.queued = seconds(4);
-    progress.assigned = env_.now();
+    progress.queue_time = seconds(4);
+    progress.assigned_at = env_.now();
     env_.stall(millis(100));
     tracker_.on_committed(id_, attempt_, progress);
     env_.stall(millis(700));
