--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -171,7 +171,7 @@
         return;
     }
     if (parts_.registry.contains(id))
-        parts_.starts.on_committed(id, {ref, state_cache_.task(ref).attempt}, progress);
+        parts_.starts.on_start_committed(id, {ref, state_cache_.task(ref).attempt}, progress);
     parts_.heartbeats.deliver_start(id);
 }
 
--- a/src/workers/start_tracker.cpp
+++ b/src/workers/start_tracker.cpp
@@ -4,14 +4,14 @@
 
 namespace zincdyke {
 
-void StartTracker::on_committed(const MachineId& id, const TaskAttempt& attempt,
-                                const StartProgress& progress) {
+void StartTracker::on_start_committed(const MachineId& id, const TaskAttempt& attempt,
+                                      const StartProgress& progress) {
     StartProgress& start = machines_[id].progress[attempt];
     start = progress;
     start.committed_at = env_.now();
 }
 
-void StartTracker::on_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch) {
+void StartTracker::on_start_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch) {
     MachineStarts& starts = machines_[id];
     StartDelivery& delivery = starts.deliveries[attempt];
     delivery.agent_epoch = agent_epoch;
@@ -21,12 +21,12 @@
         start->second.sent_at = env_.now();
 }
 
-void StartTracker::on_observed(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
-                               const Job& job) {
+void StartTracker::on_task_reported(const MachineId& id, const wire::TaskStatus& status,
+                                    std::uint64_t agent_epoch, const Job& job) {
     MachineStarts& starts = machines_[id];
     StartDelivery& delivery = starts.deliveries[{status.task, status.attempt}];
     delivery.agent_epoch = agent_epoch;
-    delivery.was_observed = true;
+    delivery.was_reported = true;
     follow(id, starts, status, job);
 }
 
--- a/src/workers/start_tracker.h
+++ b/src/workers/start_tracker.h
@@ -16,7 +16,7 @@
 struct StartDelivery {
     std::uint64_t agent_epoch = 0;  // in which it was last sent or observed
     int sent_count = 0;             // responses that carried the start
-    bool was_observed = false;      // the worker has reported the task
+    bool was_reported = false;      // the worker has reported the task
 };
 
 /// Owns the delivery state of every start, and the times of those that this node decided.
@@ -25,12 +25,12 @@
     StartTracker(Env& env, const StateCache& state_cache) : env_(env), state_cache_(state_cache) {}
 
     /// The start of this attempt was committed; `progress` tells how long it took until then.
-    void on_committed(const MachineId& id, const TaskAttempt& attempt, const StartProgress& progress);
+    void on_start_committed(const MachineId& id, const TaskAttempt& attempt, const StartProgress& progress);
     /// A response with the start goes to the worker.
-    void on_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch);
+    void on_start_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch);
     /// The worker reports the task; `job` is its job.
-    void on_observed(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
-                     const Job& job);
+    void on_task_reported(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
+                          const Job& job);
     /// Drops attempts that are over, once there are many.
     void prune(const MachineId& id);
     /// Drops what is kept for the machine.
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -70,7 +70,7 @@
                                                                 const wire::TaskStatus& status, Term term) {
     const Job* job = state_cache_.job(status.task.job);
     const bool is_placed_here = is_placed_on(id, status);
-    if (is_placed_here) starts_.on_observed(id, status, heartbeat.sequence.agent_epoch, *job);
+    if (is_placed_here) starts_.on_task_reported(id, status, heartbeat.sequence.agent_epoch, *job);
     if (status.phase == wire::TaskPhase::ended) {
         // Its end is committed already, or it was never ours to count.
         if (!is_placed_here) return wire::Command{wire::CommandKind::forget, status.task, status.attempt, 0};
@@ -125,7 +125,7 @@
 
 std::optional<ReleaseReason> TaskReconciler::prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
                                                            const StartDelivery* delivery) {
-    if (delivery != nullptr && delivery->was_observed) return ReleaseReason::missing_from_heartbeat;
+    if (delivery != nullptr && delivery->was_reported) return ReleaseReason::missing_from_heartbeat;
     // The lease under which it was sent is over, or response after response with it was lost.
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
@@ -158,7 +158,7 @@
     // Without the key-value store nothing is started: the job may be cancelled and the shard another's by
     // now.
     if (!cluster_.is_up_to_date()) return std::nullopt;
-    starts_.on_sent(id, attempt, heartbeat.sequence.agent_epoch);
+    starts_.on_start_sent(id, attempt, heartbeat.sequence.agent_epoch);
     return wire::Command{wire::CommandKind::start, ref, attempt.attempt, 0};
 }
 
--- a/tests/start_tracker_test.cpp
+++ b/tests/start_tracker_test.cpp
@@ -18,8 +18,8 @@
         return settings;
     }
     void observe(wire::TaskPhase phase) {
-        tracker_.on_observed(id_, {attempt_.task, attempt_.attempt, phase, wire::ExitCause::none, false}, 3,
-                             job_);
+        tracker_.on_task_reported(id_, {attempt_.task, attempt_.attempt, phase, wire::ExitCause::none, false},
+                                  3, job_);
     }
     // Starts of the class by the time that the step took, in the buckets of StartTimes.
     StartTimes::Histogram times_of(StartStep step) const {
@@ -41,15 +41,15 @@
 
 TEST_F(StartTrackerTest, DeliveryTellsWhatWasSentAndObserved) {
     EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
-    tracker_.on_sent(id_, attempt_, 2);
-    tracker_.on_sent(id_, attempt_, 3);
+    tracker_.on_start_sent(id_, attempt_, 2);
+    tracker_.on_start_sent(id_, attempt_, 3);
     const StartDelivery* delivery = tracker_.delivery(id_, attempt_);
     ASSERT_NE(delivery, nullptr);
     EXPECT_EQ(delivery->sent_count, 2);
     EXPECT_EQ(delivery->agent_epoch, 3U);
-    EXPECT_FALSE(delivery->was_observed);
+    EXPECT_FALSE(delivery->was_reported);
     observe(wire::TaskPhase::fetching);
-    EXPECT_TRUE(tracker_.delivery(id_, attempt_)->was_observed);
+    EXPECT_TRUE(tracker_.delivery(id_, attempt_)->was_reported);
     EXPECT_EQ(tracker_.delivery(id_, {attempt_.task, 2}), nullptr);
     tracker_.on_machine_removed(id_);
     EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
@@ -60,9 +60,9 @@
     progress.queue_time = seconds(4);
     progress.assigned_at = env_.now();
     env_.stall(millis(100));
-    tracker_.on_committed(id_, attempt_, progress);
+    tracker_.on_start_committed(id_, attempt_, progress);
     env_.stall(millis(700));
-    tracker_.on_sent(id_, attempt_, 3);
+    tracker_.on_start_sent(id_, attempt_, 3);
     env_.stall(seconds(7));
     observe(wire::TaskPhase::fetching);
     env_.stall(seconds(1));
@@ -79,16 +79,16 @@
 }
 
 TEST_F(StartTrackerTest, StartThatAnotherLeaderSentIsNotCounted) {
-    tracker_.on_committed(id_, attempt_, {});
+    tracker_.on_start_committed(id_, attempt_, {});
     observe(wire::TaskPhase::running);
     EXPECT_TRUE(tracker_.times().by_class().empty());
 }
 
 TEST_F(StartTrackerTest, AttemptsThatAreOverAreDroppedOnceThereAreMany) {
-    for (TaskIndex i = 0; i < 32; ++i) tracker_.on_sent(id_, {{JobId("a"), i}, 1}, 3);
+    for (TaskIndex i = 0; i < 32; ++i) tracker_.on_start_sent(id_, {{JobId("a"), i}, 1}, 3);
     tracker_.prune(id_);
     EXPECT_NE(tracker_.delivery(id_, attempt_), nullptr);
-    tracker_.on_sent(id_, {{JobId("a"), 32}, 1}, 3);
+    tracker_.on_start_sent(id_, {{JobId("a"), 32}, 1}, 3);
     tracker_.prune(id_);
     EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
 }
