--- a/src/workers/agent_link.cpp
+++ b/src/workers/agent_link.cpp
@@ -10,26 +10,26 @@
     term_ = term;
     has_received_term_ = has_sent_heartbeat_ = receives_responses_ = false;
     token_count_ = 0;
-    heartbeat_requested_ = {};
+    heartbeat_requested_at_ = {};
 }
 
 void AgentLink::on_message(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source,
                            SteadyTime now) {
     if (term_ != term) begin_term(term);
-    const bool shows_term = heartbeat.token.term == term;
+    const bool confirms_term = heartbeat.token.term == term;
     const bool is_from_agent = source == HeartbeatSource::agent;
-    if (shows_term) token_count_ = std::max(token_count_, heartbeat.token.count);
-    // A new epoch begins when no response arrived for a lease, however many were written.
+    if (confirms_term) token_count_ = std::max(token_count_, heartbeat.token.count);
+    // An agent begins a new epoch when it received no response for a whole lease duration.
     if (heartbeat.sequence.agent_epoch > sequence_.agent_epoch) {
         receives_responses_ = false;
         last_answered_number_ = 0;
     }
-    if (shows_term && !has_received_term_) receives_responses_ = true;
+    if (confirms_term && !has_received_term_) receives_responses_ = true;
     if (is_from_agent && last_answered_number_ > 0 && heartbeat.sequence.number == last_answered_number_ + 1)
         receives_responses_ = true;
     if (is_from_agent && receives_responses_) last_connected_ = now;
     sequence_ = heartbeat.sequence;
-    if (shows_term) has_received_term_ = true;
+    if (confirms_term) has_received_term_ = true;
     if (is_from_agent) has_sent_heartbeat_ = true;
 }
 
@@ -42,7 +42,7 @@
 }
 
 void AgentLink::record_heartbeat_requested(SteadyTime now) {
-    heartbeat_requested_ = now;
+    heartbeat_requested_at_ = now;
     ++token_count_;
 }
 
@@ -56,7 +56,7 @@
 }
 
 bool AgentLink::was_heartbeat_requested(SteadyTime now, Duration interval) const {
-    return heartbeat_requested_ != SteadyTime{} && now - heartbeat_requested_ < interval;
+    return heartbeat_requested_at_ != SteadyTime{} && now - heartbeat_requested_at_ < interval;
 }
 
 }  // namespace zincdyke
--- a/src/workers/agent_link.h
+++ b/src/workers/agent_link.h
@@ -1,4 +1,4 @@
-/// What a leader can conclude from the messages of one machine's agent.
+/// State of the communication between a shard's leader and the agent of one machine.
 #pragma once
 #include <cstdint>
 
@@ -7,82 +7,93 @@
 
 namespace zincdyke {
 
-/// How a heartbeat came here.
+/// How a heartbeat message reached this node.
 enum class HeartbeatSource : std::uint8_t {
-    agent,            // sent by the agent itself; a response renews its lease
-    command_response  // in its response to a command; nothing is renewed
+    agent,            // heartbeat request from the agent; the response renews the agent's lease
+    command_response  // status in the agent's response to a command; no lease is renewed
 };
 
-/// How old a lease must be to have expired for certain. Two clocks may each be off by 0.05%; the rest covers
-/// the timer's own step.
+/// Returns the longest time for which a lease of `lease_s` may still be valid, measured on this node's clock.
+/// Allows for a clock drift of 0.05% on both nodes and for timer granularity.
 [[nodiscard]] Duration max_lease_duration(double lease_s);
 
-/// The exchange with one agent under this node's term: what it has proved to have received, and how long its
-/// lease may still run. Everything that only a term proves is dropped when the term changes.
+/// Tracks which messages an agent has provably received from this node, and when the agent's lease ends.
+/// Evidence from one leader term does not apply to another, so a change of the term resets it.
 class AgentLink {
   public:
-    /// Takes over a message that is newer than all before (see `is_stale`).
+    /// Updates the state from a message of the agent that is not stale (see `is_stale`).
     void on_message(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now);
-    /// Something of the agent's arrived at `now`: its lease ends at most one lease later.
+    /// Records that a message of the agent arrived at `now`. The agent's lease ends at most one lease
+    /// duration later.
     void record_message_received(SteadyTime now);
-    /// The agent's message with this number gets a response.
+    /// Records that this node answers the agent's heartbeat with this sequence number.
     void record_heartbeat_answered(std::uint64_t number) { last_answered_number_ = number; }
-    /// No message of the agent proves any more that it receives our responses.
+    /// Discards all evidence that the agent receives this node's responses.
     void mark_responses_unacknowledged() { receives_responses_ = false; }
-    /// The next message does not prove that the response to the one before arrived.
+    /// Prevents the agent's next heartbeat from counting as evidence that it received the response to the
+    /// previous one.
     void clear_last_answered_number() { last_answered_number_ = 0; }
-    /// Its lease expired under `term`: what still comes of this epoch is a late copy. Under a later term it
-    /// may be alive, since another leader may have renewed it between the two.
+    /// Records that the lease of the current agent epoch expired under `term`. Further messages of the epoch
+    /// are stale under `term`, but not under a later term: another leader may have renewed the lease in
+    /// between.
     void mark_lease_expired(Term term);
-    /// A command that asks for an early heartbeat goes out now; it needs a higher token.
+    /// Records that a command requesting an early heartbeat is sent at `now`, and increments the token count
+    /// for that command.
     void record_heartbeat_requested(SteadyTime now);
 
-    /// Older than what is known, or of an epoch whose lease expired under `term`.
+    /// Whether a message is not newer than the newest known one, or belongs to an agent epoch whose lease
+    /// expired under `term`.
     [[nodiscard]] bool is_stale(const wire::HeartbeatSequence& sequence, Term term) const;
-    /// Nothing of this epoch arrived for longer than a lease.
+    /// Whether no message of the agent epoch arrived for longer than a lease can last. False if the agent has
+    /// sent no heartbeat under `term`.
     [[nodiscard]] bool is_lease_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now,
                                         double lease_s) const;
-    /// It has shown `term`: no other leader's commands or responses count any more.
+    /// Whether the agent has proved that it received `term`. The agent then rejects commands and responses of
+    /// leaders with an earlier term.
     [[nodiscard]] bool has_received_term(Term term) const { return has_received_term_ && term_ == term; }
-    /// It sends heartbeats under `term`, and receives our responses.
+    /// Whether the agent sends heartbeats under `term` and has proved that it receives this node's responses.
     [[nodiscard]] bool is_connected(Term term) const {
         return has_sent_heartbeat_ && receives_responses(term);
     }
-    /// It receives our responses under `term`.
+    /// Whether the agent has proved that it receives this node's responses under `term`.
     [[nodiscard]] bool receives_responses(Term term) const { return receives_responses_ && term_ == term; }
+    /// Whether the agent has proved that it receives this node's responses, under the term of its newest
+    /// message.
     [[nodiscard]] bool receives_responses() const { return receives_responses_; }
-    /// The token that a command or response under `term` bears.
+    /// Returns the fencing token for a command or response to the agent under `term`.
     [[nodiscard]] wire::FencingToken token(Term term) const {
         return {term, term_ == term ? token_count_ : 0};
     }
-    /// Heartbeats were asked for so often under this term that the token cannot be raised.
+    /// Whether the token count has reached its maximum, so that no early heartbeat can be requested under the
+    /// current term.
     [[nodiscard]] bool is_token_exhausted() const { return token_count_ == wire::FencingToken::max_count; }
-    /// An early heartbeat was asked for less than `interval` ago.
+    /// Whether an early heartbeat was requested less than `interval` before `now`.
     [[nodiscard]] bool was_heartbeat_requested(SteadyTime now, Duration interval) const;
     [[nodiscard]] const wire::HeartbeatSequence& sequence() const { return sequence_; }
     [[nodiscard]] std::uint64_t agent_epoch() const { return sequence_.agent_epoch; }
     [[nodiscard]] std::uint64_t last_answered_number() const { return last_answered_number_; }
-    /// When the newest message arrived; its lease runs from there at the latest.
+    /// Arrival time of the agent's newest message. The agent's lease was last renewed at that time or
+    /// earlier.
     [[nodiscard]] SteadyTime last_received() const { return last_received_; }
-    /// When the newest heartbeat arrived while the agent received our responses.
+    /// Arrival time of the newest heartbeat at which the agent was known to receive this node's responses.
     [[nodiscard]] SteadyTime last_connected() const { return last_connected_; }
 
   private:
     void begin_term(Term term);
-    Term term_;  // that everything below holds for, down to `heartbeat_requested_`
+    Term term_;  // leader term to which the members up to `heartbeat_requested_at_` apply
     bool has_received_term_ = false;
     bool has_sent_heartbeat_ = false;
-    // Heartbeats may arrive while nothing gets back to the machine: that a response was written proves
-    // nothing. Proof is a term that only we can have told it, or two heartbeats to us in a row within one
-    // epoch (without a response the second would have gone to another controller).
+    // Sending a response does not prove that it arrives. Proof is a message with a term that only this node
+    // can have sent to the agent, or two consecutive heartbeats to this node within one agent epoch: without
+    // a response, the agent would have sent the second one to another controller.
     bool receives_responses_ = false;
     std::uint32_t token_count_ = 0;
-    SteadyTime heartbeat_requested_{};
-    wire::HeartbeatSequence sequence_;  // of the newest message
+    SteadyTime heartbeat_requested_at_{};
+    wire::HeartbeatSequence sequence_;  // sequence of the newest message
     SteadyTime last_received_{};
     SteadyTime last_connected_{};
-    std::uint64_t last_answered_number_ = 0;  // newest heartbeat of this epoch that was answered; 0: none
-    std::uint64_t expired_epoch_ = 0;
+    std::uint64_t last_answered_number_ = 0;  // number of the epoch's newest answered heartbeat; 0: none
+    std::uint64_t expired_epoch_ = 0;  // agent epoch whose lease expired under `expired_term_`; 0: none
     Term expired_term_;
 };
 
--- a/src/workers/capacity_notifier.h
+++ b/src/workers/capacity_notifier.h
@@ -1,4 +1,4 @@
-/// Tells the relays that capacity has come free.
+/// Notifies the relays when capacity becomes free.
 #pragma once
 #include <map>
 #include <string>
@@ -13,25 +13,28 @@
 
 namespace zincdyke {
 
-/// Gathers for a moment what came free, and sends the most of each machine type to every controller.
+/// Collects freed capacity for 25 ms, then sends every controller the largest free amount of each resource by
+/// machine type.
 class CapacityNotifier {
   public:
     CapacityNotifier(Env& env, const Settings& settings, const StateCache& state_cache, PeerChannel& peers,
                      CapacityTracker& capacity, const MachineAvailability& availability);
 
-    /// Capacity may have come free on the machine. Nothing is sent while no task waits.
+    /// Called when capacity may have become free on the machine. Ignored if the machine takes no new tasks or
+    /// no task is pending.
     void on_capacity_freed(const MachineId& id, Machine& machine);
 
   private:
-    static constexpr Duration gather_delay = std::chrono::milliseconds(25);
-    void send();
+    static constexpr Duration batch_delay = std::chrono::milliseconds(25);
+    void send_notifications();
     Env& env_;
     const Settings& settings_;
     const StateCache& state_cache_;
     PeerChannel& peers_;
     CapacityTracker& capacity_;
     const MachineAvailability& availability_;
-    std::map<std::string, Resources> freed_;  // by machine type; not empty: the timer runs
+    std::map<std::string, Resources>
+        freed_by_type_;  // largest free amounts; if not empty, the send timer is running
 };
 
 }  // namespace zincdyke
--- a/src/workers/capacity_tracker.h
+++ b/src/workers/capacity_tracker.h
@@ -1,4 +1,4 @@
-/// Free capacity of machines, with what is reserved for offers and for starts that are not committed yet.
+/// Free capacity of machines, less the reservations for placement offers and uncommitted task starts.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,67 +12,73 @@
 
 namespace zincdyke {
 
-/// Owns the reservations. Free capacity is computed when it is asked for and cached until a heartbeat, a
-/// placement or a reservation of that machine changes it.
+/// Owns the capacity reservations and computes the free capacity of machines on demand. The result is cached
+/// until a heartbeat, a placement or a reservation changes the machine.
 class CapacityTracker {
   public:
     CapacityTracker(Env& env, const StateCache& state_cache, MachineRegistry& registry)
         : env_(env), state_cache_(state_cache), registry_(registry) {}
 
-    /// What a new task may take on the machine.
+    /// Returns the resources that new tasks may use on the machine. Nothing is free if the machine's type, or
+    /// the job of a task that the machine reports, is unknown.
     [[nodiscard]] Resources free_capacity(const MachineId& id, Machine& machine);
-    /// No task is placed there or reported, and nothing is reserved.
+    /// Whether the machine has no placed tasks, no running tasks and no reservations.
     [[nodiscard]] bool is_idle(const MachineId& id, const Machine& machine) const;
 
-    /// Something on the machine changed.
+    /// Discards the machine's cached free capacity.
     void invalidate(const MachineId& id);
-    /// A job came or went: what an unknown job's tasks take may be known now.
+    /// Called when a job is added or removed. Discards all cached capacity if some of it is zero because of
+    /// an unknown job.
     void on_jobs_changed();
-    /// Periodic: capacity depends on the machine types as well.
+    /// Discards all cached capacity if the machine types have changed. Called periodically.
     void refresh_machine_types();
 
-    /// Reserves `each` once for every offer of the round, until `release_offers` or 2.5 s have passed.
-    void reserve_offers(const wire::RoundId& round, const Resources& each,
+    /// Reserves `need` for every offer of a placement round, until `release_offers` is called or 2.5 s have
+    /// passed. Replaces the round's earlier reservations.
+    void reserve_offers(const wire::RoundId& round, const Resources& need,
                         const std::vector<wire::PlacementOffer>& offers);
-    /// The round is decided: releases what it reserved.
+    /// Releases all reservations for the offers of a placement round.
     void release_offers(const wire::RoundId& round);
-    /// Periodic: releases what no decision came for.
+    /// Releases the reservations of rounds that received no decision in time. Called periodically.
     void expire_reservations();
 
-    /// Reserves capacity for a start until it is committed or rejected.
+    /// Reserves capacity for a task start that waits to be committed; to be released with `release_start`.
     void reserve_start(const TaskRef& task, const MachineId& id, const Resources& need);
-    /// Releases what `reserve_start` reserved.
+    /// Releases the capacity reserved by `reserve_start`. Does nothing if there is no such reservation.
     void release_start(const TaskRef& task);
-    /// Whether a start of the task waits to be committed here.
-    [[nodiscard]] bool is_start_pending(const TaskRef& task) const { return starting_.contains(task); }
+    /// Whether capacity is reserved for a start of the task that waits to be committed.
+    [[nodiscard]] bool is_start_pending(const TaskRef& task) const { return pending_starts_.contains(task); }
 
-    /// How often free capacity was computed, not taken from the cache.
+    /// Returns how often free capacity was computed instead of taken from the cache.
     [[nodiscard]] std::uint64_t computation_count() const { return computation_count_; }
 
   private:
     static constexpr Duration reservation_timeout = std::chrono::milliseconds(2500);
-    /// Capacity reserved for the offers of one round.
+    /// Capacity reserved for the offers of one placement round.
     struct RoundReservation {
-        std::vector<MachineId> machines;  // one entry for each offer
-        Resources each;
-        SteadyTime expires;
+        std::vector<MachineId> machines;  // machine of each offer; repeated if there are several
+        Resources need;                   // resources reserved for each offer
+        SteadyTime expires_at;
     };
-    // By machine, so that the capacity of one can be computed without a search through all rounds.
+    /// Capacity reserved on one machine. Kept by machine so that computing the free capacity of a machine
+    /// needs no search through all placement rounds.
     struct MachineReservations {
-        Resources offered;
-        std::map<TaskRef, Resources> starting;
-        [[nodiscard]] bool is_empty() const { return offered == Resources{} && starting.empty(); }
+        Resources offered_capacity;
+        std::map<TaskRef, Resources> pending_starts;
+        [[nodiscard]] bool is_empty() const {
+            return offered_capacity == Resources{} && pending_starts.empty();
+        }
     };
     Resources compute(const MachineId& id, const Machine& machine);
     Env& env_;
     const StateCache& state_cache_;
     MachineRegistry& registry_;
-    std::uint64_t version_ = 1;      // of jobs and machine types, which all cached capacity depends on
-    bool has_unknown_jobs_ = false;  // some machine shows tasks of a job that has not been read yet
+    std::uint64_t inputs_version_ = 1;  // incremented to discard all cached capacity
+    bool has_unknown_jobs_ = false;     // some machine reports tasks of a job that is not in the state cache
     Revision machine_types_version_;
-    std::map<wire::RoundId, RoundReservation> rounds_;
-    std::unordered_map<MachineId, MachineReservations> reservations_;
-    std::map<TaskRef, MachineId> starting_;
+    std::map<wire::RoundId, RoundReservation> reservations_by_round_;
+    std::unordered_map<MachineId, MachineReservations> reservations_by_machine_;
+    std::map<TaskRef, MachineId> pending_starts_;
     std::uint64_t computation_count_ = 0;
 };
 
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -10,19 +10,20 @@
 
 CommandSender::CommandSender(Env& env, const Settings& settings, const StateCache& state_cache,
                              const ClusterCoordinator& cluster, MachineRegistry& registry,
-                             const StartTracker& starts)
+                             const StartTracker& start_tracker)
     : env_(env),
       settings_(settings),
       state_cache_(state_cache),
       cluster_(cluster),
       registry_(registry),
-      starts_(starts) {}
+      start_tracker_(start_tracker) {}
 
-void CommandSender::post(const MachineId& id, const Machine& machine, Term term,
-                         const std::vector<wire::Command>& commands, Reply done) {
-    env_.http(machine.address,
-              http_messages::commands(registry_.token_for(id, term), commands, machine.link.agent_epoch()),
-              http_messages::command_timeout, std::move(done));
+void CommandSender::send_commands(const MachineId& id, const Machine& machine, Term term,
+                                  const std::vector<wire::Command>& commands, Reply done) {
+    env_.http(
+        machine.address,
+        http_messages::command_request(registry_.token_for(id, term), commands, machine.link.agent_epoch()),
+        http_messages::command_timeout, std::move(done));
 }
 
 void CommandSender::stop_job(const JobId& id) {
@@ -40,7 +41,8 @@
     send_stops();
 }
 
-// The stop of a cancelled task is right whenever it arrives.
+// Sends stop commands without checking whether they are still needed: cancellations are final, so a late stop
+// command is harmless.
 void CommandSender::send_stops() {
     while (!pending_stops_.empty() && concurrent_stops_ < max_concurrent_stops) {
         const auto next = pending_stops_.extract(pending_stops_.begin());
@@ -49,7 +51,7 @@
         const auto term = cluster_.leader_term(id);
         if (!term || machine == nullptr || machine->address.empty()) continue;
         ++concurrent_stops_;
-        post(id, *machine, *term, next.mapped(), [this](const HttpResponse&) {
+        send_commands(id, *machine, *term, next.mapped(), [this](const HttpResponse&) {
             --concurrent_stops_;
             send_stops();
         });
@@ -67,7 +69,7 @@
     log::info("event=task_preempted task={} attempt={} machine={} term={}", ref.str(), task.attempt,
               task.machine.value(), term->value());
     const wire::Command stop{wire::CommandKind::stop, ref, task.attempt, job->spec.save_s + save_margin_s};
-    post(task.machine, *machine, *term, {stop}, [](const HttpResponse&) {});
+    send_commands(task.machine, *machine, *term, {stop}, [](const HttpResponse&) {});
 }
 
 void CommandSender::request_heartbeat(const MachineId& id) {
@@ -77,32 +79,32 @@
     machine->link.record_heartbeat_requested(env_.now());
     ++concurrent_heartbeat_requests_;
     ++heartbeat_request_count_;
-    post(id, *machine, *term, {}, [this](const HttpResponse&) { --concurrent_heartbeat_requests_; });
+    send_commands(id, *machine, *term, {}, [this](const HttpResponse&) { --concurrent_heartbeat_requests_; });
 }
 
 bool CommandSender::should_request_heartbeat(const MachineId& id, const Machine& machine, Term term) const {
     const AgentLink& link = machine.link;
     const SteadyTime now = env_.now();
-    const Duration expected_in = link.last_received() + seconds(settings_.report_s) - now;
+    const Duration time_to_next_heartbeat = link.last_received() + seconds(settings_.report_s) - now;
     const Duration min_wait =
         has_unsent_service_start(id) ? min_heartbeat_wait_for_service : min_heartbeat_wait;
-    const Duration interval = seconds(settings_.lease_s * heartbeat_request_interval_leases);
-    return link.receives_responses(term) && !machine.address.empty() && expected_in >= min_wait &&
+    const Duration interval = seconds(settings_.lease_s * heartbeat_request_interval_lease_fraction);
+    return link.receives_responses(term) && !machine.address.empty() && time_to_next_heartbeat >= min_wait &&
            !link.was_heartbeat_requested(now, interval) &&
            concurrent_heartbeat_requests_ < max_concurrent_heartbeat_requests && !link.is_token_exhausted();
 }
 
-// A replica was committed to the machine and its start was not sent yet.
+// Whether a service replica is placed on the machine and its start command has not been sent yet.
 bool CommandSender::has_unsent_service_start(const MachineId& id) const {
     const auto& placed = state_cache_.tasks_on(id);
     return std::any_of(placed.begin(), placed.end(), [&](const TaskRef& ref) {
         const Job* job = state_cache_.job(ref.job);
         return job != nullptr && job->spec.is_service() &&
-               starts_.delivery(id, {ref, state_cache_.task(ref).attempt}) == nullptr;
+               start_tracker_.delivery(id, {ref, state_cache_.task(ref).attempt}) == nullptr;
     });
 }
 
-void CommandSender::forget_ended_preemptions() {
+void CommandSender::discard_ended_preemptions() {
     std::erase_if(preempted_, [&](const TaskAttempt& preempted) {
         const TaskState task = state_cache_.task(preempted.task);
         return task.status != TaskState::Status::placed || task.attempt != preempted.attempt;
--- a/src/workers/command_sender.h
+++ b/src/workers/command_sender.h
@@ -1,4 +1,4 @@
-/// Commands sent straight to workers, without waiting for their next heartbeats.
+/// Sends commands directly to workers, without waiting for their next heartbeats.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -15,52 +15,57 @@
 
 namespace zincdyke {
 
-/// What a task gets beyond the time that it needs to save.
+/// Time that a stopped task gets in addition to the time that it needs to save a checkpoint.
 constexpr double save_margin_s = 3;
 
-/// Sends commands for speed alone: nothing rests on their arrival, since the responses to heartbeats repeat
-/// every command until it is executed. Owns the stops that wait to be sent and the set of preempted tasks.
+/// Sends commands early to reduce latency. Correctness does not depend on their delivery, because heartbeat
+/// responses repeat every command until the worker has executed it. Owns the stop commands that wait to be
+/// sent, and the set of preempted task attempts.
 class CommandSender {
   public:
     CommandSender(Env& env, const Settings& settings, const StateCache& state_cache,
-                  const ClusterCoordinator& cluster, MachineRegistry& registry, const StartTracker& starts);
+                  const ClusterCoordinator& cluster, MachineRegistry& registry,
+                  const StartTracker& start_tracker);
 
-    /// Stops what runs of a cancelled job on our machines.
+    /// Sends stop commands for all tasks of a cancelled job that are placed on machines of this node's
+    /// shards.
     void stop_job(const JobId& id);
-    /// Stops a task, with time to save if it can.
+    /// Commands a task attempt to stop in favor of a job of higher rank, with time to save a checkpoint.
     void on_preemption_request(const wire::PreemptionRequest& request);
-    /// Asks the machine for a heartbeat at once, if that is worth it: a start was committed there. The
-    /// command raises the token and names no task; the start goes in the response as always. Lost, repeated
-    /// or late it does no harm.
+    /// Requests a heartbeat from a machine for which a start was committed, unless the next regular heartbeat
+    /// is close. The request carries no commands, only a higher fencing token; the start command is sent
+    /// in the heartbeat's response. A lost, repeated or late request is harmless.
     void request_heartbeat(const MachineId& id);
 
-    /// The attempt was asked to stop for work of higher rank.
+    /// Whether the attempt was commanded to stop for a job of higher rank.
     [[nodiscard]] bool is_preempted(const TaskAttempt& attempt) const { return preempted_.contains(attempt); }
-    /// Periodic: drops preempted attempts that are over.
-    void forget_ended_preemptions();
-    /// How many early heartbeats were asked for.
+    /// Discards preempted attempts that have ended. Called periodically.
+    void discard_ended_preemptions();
+    /// Returns how many early heartbeats were requested since the process began.
     [[nodiscard]] std::uint64_t heartbeat_request_count() const { return heartbeat_request_count_; }
 
   private:
     static constexpr std::size_t max_concurrent_stops = 24;
     static constexpr std::size_t max_concurrent_heartbeat_requests = 64;
-    // A worker executes one request for a heartbeat in half of a lease.
-    static constexpr double heartbeat_request_interval_leases = 0.51;
-    // A heartbeat expected sooner is waited for; a replica of a service, wanted at once, hardly waits.
+    // Minimum time between heartbeat requests to one worker, in lease durations. A worker executes at most
+    // one such request in half a lease duration.
+    static constexpr double heartbeat_request_interval_lease_fraction = 0.51;
+    // A heartbeat is only requested if the next regular one is at least this far away. The limit is lower if
+    // a service replica waits for its start.
     static constexpr Duration min_heartbeat_wait = std::chrono::seconds(2);
     static constexpr Duration min_heartbeat_wait_for_service = std::chrono::milliseconds(200);
     void send_stops();
     [[nodiscard]] bool should_request_heartbeat(const MachineId& id, const Machine& machine, Term term) const;
     [[nodiscard]] bool has_unsent_service_start(const MachineId& id) const;
-    void post(const MachineId& id, const Machine& machine, Term term,
-              const std::vector<wire::Command>& commands, Reply done);
+    void send_commands(const MachineId& id, const Machine& machine, Term term,
+                       const std::vector<wire::Command>& commands, Reply done);
     Env& env_;
     const Settings& settings_;
     const StateCache& state_cache_;
     const ClusterCoordinator& cluster_;
     MachineRegistry& registry_;
-    const StartTracker& starts_;
-    std::map<MachineId, std::vector<wire::Command>> pending_stops_;  // of cancelled jobs
+    const StartTracker& start_tracker_;
+    std::map<MachineId, std::vector<wire::Command>> pending_stops_;  // unsent stops of cancelled jobs
     std::size_t concurrent_stops_ = 0;
     std::size_t concurrent_heartbeat_requests_ = 0;
     std::set<TaskAttempt> preempted_;
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -30,7 +30,8 @@
     const MachineId& id = heartbeat.machine;
     const auto term = cluster_.is_synced() ? cluster_.leader_term(id) : std::nullopt;
     if (!term || heartbeat.token.term > *term) {
-        // Not entitled: a 200 here would hold the worker while its lease expires.
+        // A 200 response from a controller without the newest term would not renew the lease, and the worker
+        // would keep sending heartbeats here until its lease expires.
         const auto leader = cluster_.is_synced() ? cluster_.leader_of(id) : std::nullopt;
         return reply(http_messages::not_leader(leader));
     }
@@ -38,20 +39,22 @@
     ++counts_.heartbeats;
     if (is_stale(heartbeat, *term)) {
         ++counts_.stale_heartbeats;
-        return renew_lease(heartbeat, *term, reconciler_.stops_of_cancelled(heartbeat), reply);
+        return renew_lease(heartbeat, *term, reconciler_.stops_for_cancelled_jobs(heartbeat), reply);
     }
     Machine& machine = registry_.find_or_add(id);
     accept(machine, heartbeat, *term);
     const auto commands = reconciler_.reconcile(id, machine, heartbeat, *term);
     machine.link.record_heartbeat_answered(heartbeat.sequence.number);
     if (!machine.ended_attempts.empty() || heartbeat.tasks.empty()) notifier_.on_capacity_freed(id, machine);
-    if (!commands.empty() || !should_hold(machine, heartbeat))
+    if (!commands.empty() || !should_delay_response(machine, heartbeat))
         return renew_lease(heartbeat, *term, commands, reply);
-    held_[id] = {heartbeat, reply, env_.after(max_response_delay, [this, id] { answer_held(id); })};
+    pending_responses_[id] = {heartbeat, reply,
+                              env_.after(max_response_delay, [this, id] { send_pending_response(id); })};
 }
 
-// Copies of heartbeats come late, up to well over a lease: what is older than we know, of an epoch whose
-// lease surely expired or of a terminated machine proves nothing, revives nothing and starts nothing.
+// Whether the heartbeat is outdated: older than the newest one, from an agent epoch whose lease expired, or
+// from a terminated machine. Copies of heartbeats may arrive more than a lease duration late, and must
+// neither change the machine's state nor start tasks.
 bool HeartbeatHandler::is_stale(const wire::Heartbeat& heartbeat, Term term) const {
     if (registry_.is_terminated(heartbeat.machine)) return true;
     const Machine* machine = registry_.find(heartbeat.machine);
@@ -61,9 +64,9 @@
 void HeartbeatHandler::accept(Machine& machine, const wire::Heartbeat& heartbeat, Term term) {
     const SteadyTime now = env_.now();
     AgentLink& link = machine.link;
-    // Nothing of this epoch came for longer than a lease: what comes now was held on its way, or its sender
-    // was told our term by others' means. Either way this one heartbeat does not prove that the agent
-    // receives our responses; the next does.
+    // A heartbeat that arrives more than a lease duration after the previous one may have been delayed in the
+    // network, or its agent may have learned the term from something other than a response. So it does not
+    // prove that the agent receives this node's responses; the agent's next heartbeat does.
     const bool is_overdue =
         link.is_lease_overdue(heartbeat.sequence.agent_epoch, term, now, settings_.lease_s);
     link.record_message_received(now);
@@ -74,26 +77,28 @@
         heartbeat.machine.value(), heartbeat.sequence.agent_epoch, heartbeat.sequence.number,
         heartbeat.token.term.value(), term.value(), link.receives_responses(), link.last_answered_number(),
         to_seconds(now.time_since_epoch()));
-    answer_superseded(heartbeat.machine, term);
+    send_superseded_response(heartbeat.machine, term);
     if (is_overdue) link.clear_last_answered_number();
     machine.apply(heartbeat, term, HeartbeatSource::agent, now);
     if (is_overdue) link.mark_responses_unacknowledged();
 }
 
-// An older heartbeat may still be held: its worker has moved on, and would not execute a start in the
-// response.
-void HeartbeatHandler::answer_superseded(const MachineId& id, Term term) {
-    const auto found = held_.find(id);
-    if (found == held_.end()) return;
+// Sends the machine's pending response when a newer heartbeat arrives. The worker no longer waits for that
+// response and would ignore a start in it, so it carries only stop commands for cancelled jobs.
+void HeartbeatHandler::send_superseded_response(const MachineId& id, Term term) {
+    const auto found = pending_responses_.find(id);
+    if (found == pending_responses_.end()) return;
     env_.cancel(found->second.timer);
-    const HeldHeartbeat held = std::move(found->second);
-    held_.erase(found);
-    renew_lease(held.heartbeat, term, reconciler_.stops_of_cancelled(held.heartbeat), held.reply);
+    const PendingResponse pending = std::move(found->second);
+    pending_responses_.erase(found);
+    renew_lease(pending.heartbeat, term, reconciler_.stops_for_cancelled_jobs(pending.heartbeat),
+                pending.reply);
 }
 
-// What it reports (an end, or free capacity) will bring commands in a moment, and its next heartbeat is an
-// interval away: short tasks would lose a tenth of their machine to that wait.
-bool HeartbeatHandler::should_hold(const Machine& machine, const wire::Heartbeat& heartbeat) const {
+// Whether the response should wait for commands that are likely to follow soon, because the machine reports
+// an ended task or no tasks while tasks are pending. A command that misses the response has to wait for the
+// machine's next heartbeat, which leaves the machine idle in between.
+bool HeartbeatHandler::should_delay_response(const Machine& machine, const wire::Heartbeat& heartbeat) const {
     if (heartbeat.notice_s || !availability_.is_schedulable(heartbeat.machine, machine) ||
         !state_cache_.has_pending_tasks())
         return false;
@@ -103,35 +108,35 @@
 }
 
 void HeartbeatHandler::deliver_start(const MachineId& id) {
-    if (held_.contains(id))
-        env_.after(start_gather_delay, [this, id] { answer_held(id); });
+    if (pending_responses_.contains(id))
+        env_.after(start_batch_delay, [this, id] { send_pending_response(id); });
     else
         sender_.request_heartbeat(id);
 }
 
-// Gives a held heartbeat its response, with the commands as they stand now.
-void HeartbeatHandler::answer_held(const MachineId& id) {
-    const auto found = held_.find(id);
-    if (found == held_.end()) return;
-    const HeldHeartbeat held = std::move(found->second);
-    held_.erase(found);
-    env_.cancel(held.timer);
+// Sends the machine's pending response with the commands that apply now.
+void HeartbeatHandler::send_pending_response(const MachineId& id) {
+    const auto found = pending_responses_.find(id);
+    if (found == pending_responses_.end()) return;
+    const PendingResponse pending = std::move(found->second);
+    pending_responses_.erase(found);
+    env_.cancel(pending.timer);
     const auto term = cluster_.leader_term(id);
     Machine* machine = registry_.find(id);
-    if (!term || machine == nullptr || held.heartbeat.token.term > *term)
-        return held.reply(http_messages::not_leader(std::nullopt));
-    // A newer message, in the response to a command, may have come meanwhile: then this one's news is old.
-    const bool is_newest = held.heartbeat.sequence == machine->link.sequence();
-    renew_lease(held.heartbeat, *term,
-                is_newest ? reconciler_.reconcile(id, *machine, held.heartbeat, *term)
-                          : reconciler_.stops_of_cancelled(held.heartbeat),
-                held.reply);
+    if (!term || machine == nullptr || pending.heartbeat.token.term > *term)
+        return pending.reply(http_messages::not_leader(std::nullopt));
+    // The heartbeat is outdated if a newer message has arrived in the response to a command.
+    const bool is_newest = pending.heartbeat.sequence == machine->link.sequence();
+    renew_lease(pending.heartbeat, *term,
+                is_newest ? reconciler_.reconcile(id, *machine, pending.heartbeat, *term)
+                          : reconciler_.stops_for_cancelled_jobs(pending.heartbeat),
+                pending.reply);
 }
 
-// The one place that answers 200, and so renews a lease. Each such response stops whatever is known to be
-// cancelled. Where a cancellation may have been confirmed for so long that a lease renewed now would outlast
-// `cancel_s`, nothing is renewed: the worker tries the other controllers, and its lease expires. It protects
-// against a leader that the key-value store alone refuses, and that never learns of a cancellation.
+// Renews a lease by answering 200; no other function does so. Each such response stops the tasks of all jobs
+// known to be cancelled. If this node may have missed a cancellation for so long that a lease renewed now
+// would outlast `cancel_s`, the response is 503: the worker tries other controllers, or its lease expires.
+// This covers a leader that has lost only its connection to the key-value store.
 void HeartbeatHandler::renew_lease(const wire::Heartbeat& heartbeat, Term term,
                                    const std::vector<wire::Command>& commands, const Reply& reply) {
     if (!cancellation_watermark_.may_renew_leases()) {
--- a/src/workers/heartbeat_handler.h
+++ b/src/workers/heartbeat_handler.h
@@ -1,4 +1,4 @@
-/// Answers the workers' heartbeats, and so renews their leases.
+/// Answers the heartbeats of workers, which renews their leases.
 #pragma once
 #include <cstdint>
 #include <unordered_map>
@@ -19,8 +19,8 @@
 
 namespace zincdyke {
 
-/// Takes heartbeats of machines of our shards, and owns those whose response waits a moment for the commands
-/// that their news will bring.
+/// Handles heartbeats of machines in this node's shards. Owns the pending responses: a response waits up to
+/// 0.7 s if the content of its heartbeat is likely to cause commands.
 class HeartbeatHandler {
   public:
     HeartbeatHandler(Env& env, const Settings& settings, const StateCache& state_cache,
@@ -29,34 +29,36 @@
                      CapacityNotifier& notifier, CommandSender& sender, TaskReconciler& reconciler,
                      LeaseMonitor& lease_monitor);
 
-    /// Calls `reply` once: with 200 (lease renewed, commands), 421 (another controller leads the machine's
-    /// shard) or 503 (ask another controller, or again).
+    /// Handles a heartbeat and calls `reply` exactly once, with status 200 (lease renewed, with commands),
+    /// 421 (another controller leads the machine's shard) or 503 (the worker should try another controller,
+    /// or this one again).
     void handle(const wire::Heartbeat& heartbeat, const Reply& reply);
-    /// A start was committed: the machine gets it with the response that is held for it, or is asked for a
-    /// heartbeat.
+    /// Delivers a committed task start to the machine: in the machine's pending response if there is one,
+    /// else by requesting a heartbeat.
     void deliver_start(const MachineId& id);
 
-    /// Since the process began; `heartbeats` includes the stale ones.
+    /// Counters since the process began. `heartbeats` includes the stale ones.
     struct Counts {
         std::uint64_t heartbeats = 0, stale_heartbeats = 0, leases_not_renewed = 0;
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
-    // Well below the 4 s that a worker waits for a response.
+    // Maximum delay of a heartbeat response, well below the 4 s for which a worker waits for it.
     static constexpr Duration max_response_delay = std::chrono::milliseconds(700);
-    // One commit often brings several starts: they share the response.
-    static constexpr Duration start_gather_delay = std::chrono::milliseconds(5);
-    struct HeldHeartbeat {
+    // Delay for collecting several starts of one commit into one heartbeat response.
+    static constexpr Duration start_batch_delay = std::chrono::milliseconds(5);
+    /// A heartbeat that has not been answered yet, and the timer that answers it.
+    struct PendingResponse {
         wire::Heartbeat heartbeat;
         Reply reply;
         Env::TimerId timer = 0;
     };
     [[nodiscard]] bool is_stale(const wire::Heartbeat& heartbeat, Term term) const;
     void accept(Machine& machine, const wire::Heartbeat& heartbeat, Term term);
-    [[nodiscard]] bool should_hold(const Machine& machine, const wire::Heartbeat& heartbeat) const;
-    void answer_superseded(const MachineId& id, Term term);
-    void answer_held(const MachineId& id);
+    [[nodiscard]] bool should_delay_response(const Machine& machine, const wire::Heartbeat& heartbeat) const;
+    void send_superseded_response(const MachineId& id, Term term);
+    void send_pending_response(const MachineId& id);
     void renew_lease(const wire::Heartbeat& heartbeat, Term term, const std::vector<wire::Command>& commands,
                      const Reply& reply);
     Env& env_;
@@ -70,7 +72,7 @@
     CommandSender& sender_;
     TaskReconciler& reconciler_;
     LeaseMonitor& lease_monitor_;
-    std::unordered_map<MachineId, HeldHeartbeat> held_;
+    std::unordered_map<MachineId, PendingResponse> pending_responses_;
     Counts counts_;
 };
 
--- a/src/workers/http_messages.cpp
+++ b/src/workers/http_messages.cpp
@@ -12,8 +12,8 @@
 
 HttpResponse unavailable() { return HttpResponse::service_unavailable(1); }
 
-HttpRequest commands(wire::FencingToken token, const std::vector<wire::Command>& commands,
-                     std::uint64_t agent_epoch) {
+HttpRequest command_request(wire::FencingToken token, const std::vector<wire::Command>& commands,
+                            std::uint64_t agent_epoch) {
     return {"POST", "/commands", wire::encode_commands(token, commands, agent_epoch)};
 }
 
--- a/src/workers/http_messages.h
+++ b/src/workers/http_messages.h
@@ -1,4 +1,4 @@
-/// The HTTP messages that a leader and its workers exchange, by what they mean.
+/// HTTP messages that a shard leader sends to its workers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,18 +9,23 @@
 
 namespace zincdyke::http_messages {
 
-/// How long a worker may take to answer a command that is sent straight to it.
+/// Time limit for a worker's response to a command request.
 constexpr Duration command_timeout = std::chrono::seconds(2);
 
-/// 200 to a heartbeat: renews the worker's lease and carries commands. Only HeartbeatHandler sends it.
+/// Returns the 200 response to a heartbeat, which renews the worker's lease and carries commands. Only
+/// HeartbeatHandler sends it.
 [[nodiscard]] HttpResponse lease_renewed(wire::FencingToken token,
                                          const std::vector<wire::Command>& commands);
-/// 421 to a heartbeat: another controller leads the machine's shard; `leader` where it is known.
+/// Returns the 421 response to a heartbeat: this controller does not lead the machine's shard. The response
+/// names the shard's leader if `leader` is not empty.
 [[nodiscard]] HttpResponse not_leader(const std::optional<NodeName>& leader);
-/// 503 to a heartbeat: the worker is to ask another controller, or this one again in a second.
+/// Returns the 503 response to a heartbeat: the worker should try another controller, or this one again after
+/// one second.
 [[nodiscard]] HttpResponse unavailable();
-/// Commands sent straight to a worker. One under an older term, or for another `agent_epoch`, is refused.
-[[nodiscard]] HttpRequest commands(wire::FencingToken token, const std::vector<wire::Command>& commands,
-                                   std::uint64_t agent_epoch);
+/// Returns a request that carries commands to a worker. The worker rejects the request if it has seen a
+/// higher fencing token or if `agent_epoch` is not its current epoch.
+[[nodiscard]] HttpRequest command_request(wire::FencingToken token,
+                                          const std::vector<wire::Command>& commands,
+                                          std::uint64_t agent_epoch);
 
 }  // namespace zincdyke::http_messages
--- a/src/workers/leadership_announcer.cpp
+++ b/src/workers/leadership_announcer.cpp
@@ -10,7 +10,7 @@
                                          const ClusterCoordinator& cluster, MachineRegistry& registry)
     : env_(env), state_cache_(state_cache), cluster_(cluster), registry_(registry) {}
 
-bool LeadershipAnnouncer::may_keep(const MachineId& id) const {
+bool LeadershipAnnouncer::can_store_address(const MachineId& id) const {
     return !registry_.is_terminated(id) &&
            (targets_.size() < MachineRegistry::max_machines || targets_.contains(id));
 }
@@ -18,20 +18,20 @@
 void LeadershipAnnouncer::on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat) {
     const SteadyTime now = env_.now();
     for (const auto& status : heartbeat.machines) {
-        if (status.address.empty() || !may_keep(status.id)) continue;
+        if (status.address.empty() || !can_store_address(status.id)) continue;
         Target& target = targets_[status.id];
         target.address = status.address;
         target.agent_epoch = std::max(target.agent_epoch, status.agent_epoch);
-        target.last_confirmed = now;
+        target.address_confirmed_at = now;
     }
 }
 
 void LeadershipAnnouncer::on_machines_discovered(const wire::MachinesDiscoveredNotification& notification) {
     for (const auto& machine : notification.machines) {
-        if (!may_keep(machine.id)) continue;
+        if (!can_store_address(machine.id)) continue;
         Target& target = targets_[machine.id];
         target.address = machine.address;
-        target.last_confirmed = env_.now();
+        target.address_confirmed_at = env_.now();
     }
 }
 
@@ -40,38 +40,40 @@
     if (found != targets_.end() && !found->second.is_in_flight) targets_.erase(found);
 }
 
-void LeadershipAnnouncer::restart(std::uint32_t shard) {
+void LeadershipAnnouncer::reset_retries(std::uint32_t shard) {
     for (auto& [id, target] : targets_)
         if (state_cache_.shard_of(id) == shard) {
-            target.next_attempt = {};
-            target.attempts = 0;
+            target.next_attempt_at = {};
+            target.attempt_count = 0;
         }
 }
 
-void LeadershipAnnouncer::announce_due() {
+void LeadershipAnnouncer::send_due_announcements() {
     const SteadyTime now = env_.now();
     std::erase_if(targets_, [&](const auto& entry) {
-        return !entry.second.is_in_flight && now - entry.second.last_confirmed > address_timeout;
+        return !entry.second.is_in_flight && now - entry.second.address_confirmed_at > address_timeout;
     });
     for (auto& [id, target] : targets_) {
         if (in_flight_count_ >= max_concurrent_announcements) return;
-        if (target.is_in_flight || target.next_attempt > now) continue;
+        if (target.is_in_flight || target.next_attempt_at > now) continue;
         const auto term = cluster_.leader_term(id);
         const Machine* machine = registry_.find(id);
-        const bool is_known = term && machine != nullptr && machine->link.has_received_term(*term);
-        if (term && !is_known) announce(id, target, *term);
+        const bool has_received_term = term && machine != nullptr && machine->link.has_received_term(*term);
+        if (term && !has_received_term) announce(id, target, *term);
     }
 }
 
 void LeadershipAnnouncer::announce(const MachineId& id, Target& target, Term term) {
     target.is_in_flight = true;
     ++in_flight_count_;
-    env_.http(target.address, http_messages::commands(registry_.token_for(id, term), {}, target.agent_epoch),
+    env_.http(target.address,
+              http_messages::command_request(registry_.token_for(id, term), {}, target.agent_epoch),
               http_messages::command_timeout,
               [this, id, term](const HttpResponse& response) { on_response(id, term, response); });
 }
 
-// The response to a command shows the agent's state, also where it refuses the command (409).
+// Updates the machine's state from the agent's response to an announcement. Its body has the format of a
+// heartbeat, even if the agent rejects the command with status 409.
 void LeadershipAnnouncer::on_response(const MachineId& id, Term term, const HttpResponse& response) {
     --in_flight_count_;
     const auto found = targets_.find(id);
@@ -83,32 +85,33 @@
     if (heartbeat && heartbeat->machine != id) heartbeat.reset();
     const bool is_wrong_epoch = heartbeat && heartbeat->sequence.agent_epoch != target.agent_epoch;
     if (is_wrong_epoch) target.agent_epoch = heartbeat->sequence.agent_epoch;
-    // Told again at once under the epoch that the response shows, but for one time only.
-    if (is_wrong_epoch && target.attempts == 0)
-        target.next_attempt = {};
+    // A rejection because of the agent epoch is retried once without delay, with the epoch from the response.
+    if (is_wrong_epoch && target.attempt_count == 0)
+        target.next_attempt_at = {};
     else
         schedule_retry(target);
-    ++target.attempts;
+    ++target.attempt_count;
     if (!heartbeat || heartbeat->token.term != term || cluster_.leader_term(id) != term ||
         registry_.is_terminated(id)) {
-        if (is_wrong_epoch) announce_due();
+        if (is_wrong_epoch) send_due_announcements();
         return;
     }
-    target.attempts = 0;
+    target.attempt_count = 0;
     Machine& machine = registry_.find_or_add(id);
     if (machine.link.is_stale(heartbeat->sequence, term)) return;
     machine.apply(*heartbeat, term, HeartbeatSource::command_response, env_.now());
-    // Its last heartbeat that was answered was sent before this response: a lease runs from here at most.
+    // The agent sent its last answered heartbeat before this response, so its lease cannot end later than one
+    // lease duration from now.
     machine.link.record_message_received(env_.now());
 }
 
 void LeadershipAnnouncer::schedule_retry(Target& target) const {
-    target.next_attempt =
-        env_.now() +
-        std::min(max_retry_delay, first_retry_delay * (1 << std::min(target.attempts, max_doublings)));
+    target.next_attempt_at =
+        env_.now() + std::min(max_retry_delay,
+                              first_retry_delay * (1 << std::min(target.attempt_count, max_retry_doublings)));
 }
 
-std::map<std::uint32_t, std::size_t> LeadershipAnnouncer::machine_counts() const {
+std::map<std::uint32_t, std::size_t> LeadershipAnnouncer::machine_counts_by_shard() const {
     std::map<std::uint32_t, std::size_t> counts;
     for (const auto& [id, target] : targets_) ++counts[state_cache_.shard_of(id)];
     return counts;
--- a/src/workers/leadership_announcer.h
+++ b/src/workers/leadership_announcer.h
@@ -1,4 +1,4 @@
-/// Tells machines of a shard's new leader.
+/// Announces a shard's new leader to the machines of the shard.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,43 +13,45 @@
 
 namespace zincdyke {
 
-/// Workers that a former leader can still reach must learn the new term, or they would stay with it: a
-/// controller cut off from all but its workers would keep them, their cancelled tasks included, for as long
-/// as the cut lasts. Owns the addresses at which machines can be told, of all shards, since leadership may
-/// come at any time; they come from the other controllers and from the cloud's list.
+/// Sends this node's term to machines that have not received it yet. Without that, a former leader that is
+/// partitioned from everything but its workers would keep commanding them, cancelled tasks included. Owns the
+/// addresses of the machines in all shards, which come from peer heartbeats and from the cloud's machine
+/// list.
 class LeadershipAnnouncer {
   public:
     LeadershipAnnouncer(Env& env, const StateCache& state_cache, const ClusterCoordinator& cluster,
                         MachineRegistry& registry);
 
-    /// Addresses of the peer's machines.
+    /// Stores the addresses of the machines in a peer's heartbeat.
     void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
-    /// Addresses from the cloud's list.
+    /// Stores the addresses of machines from the cloud's machine list.
     void on_machines_discovered(const wire::MachinesDiscoveredNotification& notification);
-    /// The machine is gone: nothing more is sent to its address.
+    /// Discards the address of a terminated machine, unless a request to the machine is in flight.
     void on_machine_terminated(const MachineId& id);
-    /// The shard's machines are to be told anew, without a pause.
-    void restart(std::uint32_t shard);
-    /// Periodic: tells those of our machines that have not shown our term, some at a time.
-    void announce_due();
+    /// Resets the retry delays of the shard's machines, so that all announcements to them are due now.
+    void reset_retries(std::uint32_t shard);
+    /// Announces this node's term to the machines of its shards that have not received it, up to 24 at the
+    /// same time. Called periodically, and when this node acquires a shard.
+    void send_due_announcements();
 
-    /// How many machines of each shard have a known address.
-    [[nodiscard]] std::map<std::uint32_t, std::size_t> machine_counts() const;
+    /// Returns the number of machines with a known address, by shard.
+    [[nodiscard]] std::map<std::uint32_t, std::size_t> machine_counts_by_shard() const;
 
   private:
     static constexpr std::size_t max_concurrent_announcements = 24;
     static constexpr Duration address_timeout = std::chrono::seconds(120);
     static constexpr Duration first_retry_delay = std::chrono::milliseconds(500);
     static constexpr Duration max_retry_delay = std::chrono::seconds(4);
-    static constexpr int max_doublings = 3;
+    static constexpr int max_retry_doublings = 3;
+    /// Address of a machine, and the progress of the announcements to it.
     struct Target {
         std::string address;
         std::uint64_t agent_epoch = 1;
-        SteadyTime last_confirmed{}, next_attempt{};
-        int attempts = 0;
+        SteadyTime address_confirmed_at{}, next_attempt_at{};
+        int attempt_count = 0;
         bool is_in_flight = false;
     };
-    [[nodiscard]] bool may_keep(const MachineId& id) const;
+    [[nodiscard]] bool can_store_address(const MachineId& id) const;
     void announce(const MachineId& id, Target& target, Term term);
     void on_response(const MachineId& id, Term term, const HttpResponse& response);
     void schedule_retry(Target& target) const;
--- a/src/workers/lease_monitor.h
+++ b/src/workers/lease_monitor.h
@@ -1,4 +1,4 @@
-/// Watches for machines and whole shards that fall silent.
+/// Detects machines and entire shards whose heartbeats no longer arrive.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,37 +14,39 @@
 
 namespace zincdyke {
 
-/// Releases the tasks of machines whose lease expired, and gives up leadership of shards whose machines
-/// cannot be heard from here. Owns the time of each shard's last heartbeat.
+/// Releases the tasks of machines whose lease expired, and transfers the leadership of shards from whose
+/// machines this node receives no heartbeats. Owns the time of the last heartbeat in each shard.
 class LeaseMonitor {
   public:
     LeaseMonitor(Env& env, const Settings& settings, const StateCache& state_cache,
                  ClusterCoordinator& cluster, MachineRegistry& registry, const LeadershipAnnouncer& announcer,
                  TaskReconciler& reconciler);
 
-    /// A machine's heartbeat arrived.
+    /// Records that a heartbeat of the machine arrived.
     void on_heartbeat(const MachineId& id);
-    /// This node leads the shard: the silence of its machines counts from now. What was received in an
-    /// earlier term says nothing of the time since, when others received their heartbeats.
+    /// Called when this node becomes the shard's leader. Counts missing heartbeats of the shard's machines
+    /// from now, because other leaders may have received their heartbeats before.
     void on_leadership_acquired(std::uint32_t shard);
-    /// Periodic: transfers shards from whose machines nothing arrives. Cut off from the workers alone, a
-    /// leader would keep its shard while every lease in it expires, though others receive the heartbeats.
+    /// Transfers the leadership of shards from whose machines no heartbeats arrive. Without that, a leader
+    /// partitioned only from the workers would keep its shard until every lease in it has expired, although
+    /// other controllers receive the heartbeats. Called periodically.
     void transfer_silent_shards();
-    /// Periodic: releases the tasks of machines whose lease surely expired, and forgets machines that are no
-    /// longer ours or were silent for long.
+    /// Releases the tasks of machines whose lease has certainly expired. Removes machines without tasks that
+    /// are in no shard of this node, or that sent nothing for 12 lease durations. Called periodically.
     void expire_leases();
 
   private:
-    // Machines whose silence together is no chance.
+    // If fewer machines than this are silent in a shard, its leadership is not transferred.
     static constexpr std::size_t min_silent_machines = 5;
-    // Machines without tasks are forgotten after so many leases.
-    static constexpr double forget_after_leases = 12;
-    struct ShardContact {
-        SteadyTime acquired{}, last_heartbeat{};
+    // Silence after which a machine without tasks is removed from the registry, in lease durations.
+    static constexpr double remove_after_leases = 12;
+    /// When this node acquired a shard, and when the shard's last heartbeat arrived (0: none since then).
+    struct ShardActivity {
+        SteadyTime acquired_at{}, last_heartbeat_at{};
     };
-    void watch_machines_with_tasks();
-    void expire_if_due(const MachineId& id, Machine& machine);
-    [[nodiscard]] bool is_forgettable(const MachineId& id, const Machine& machine) const;
+    void register_machines_with_tasks();
+    void expire_lease_if_overdue(const MachineId& id, Machine& machine);
+    [[nodiscard]] bool can_remove(const MachineId& id, const Machine& machine) const;
     Env& env_;
     const Settings& settings_;
     const StateCache& state_cache_;
@@ -52,7 +54,7 @@
     MachineRegistry& registry_;
     const LeadershipAnnouncer& announcer_;
     TaskReconciler& reconciler_;
-    std::map<std::uint32_t, ShardContact> contacts_;
+    std::map<std::uint32_t, ShardActivity> activity_by_shard_;
 };
 
 }  // namespace zincdyke
--- a/src/workers/machine_availability.cpp
+++ b/src/workers/machine_availability.cpp
@@ -16,8 +16,8 @@
 
 bool MachineAvailability::is_schedulable(const MachineId& id, const Machine& machine) const {
     const auto term = cluster_.leader_term(id);
-    return term && machine.link.is_connected(*term) && !machine.spot_notice_s && !drains_.contains(id) &&
-           !cordons_.is_cordoned(id) &&
+    return term && machine.link.is_connected(*term) && !machine.spot_notice_s &&
+           !drain_started_at_.contains(id) && !cordons_.is_cordoned(id) &&
            env_.now() - machine.link.last_received() < seconds(settings_.report_s * 2.5);
 }
 
@@ -25,13 +25,13 @@
     const Machine* machine = registry_.find(request.machine);
     if (!cluster_.leader_term(request.machine) || machine == nullptr) return;
     if (!capacity_.is_idle(request.machine, *machine)) return;
-    drains_[request.machine] = env_.now();
+    drain_started_at_[request.machine] = env_.now();
     peers_.send(from, wire::DrainResponse{request.machine});
 }
 
 void MachineAvailability::expire_drains() {
     const SteadyTime now = env_.now();
-    std::erase_if(drains_, [&](const auto& drain) { return now - drain.second > drain_timeout; });
+    std::erase_if(drain_started_at_, [&](const auto& drain) { return now - drain.second > drain_timeout; });
 }
 
 }  // namespace zincdyke
--- a/src/workers/machine_availability.h
+++ b/src/workers/machine_availability.h
@@ -1,4 +1,4 @@
-/// Which machines take new tasks: draining ones do not, nor those that are cordoned or out of reach.
+/// Decides which machines may receive new tasks.
 #pragma once
 #include <map>
 
@@ -13,22 +13,24 @@
 
 namespace zincdyke {
 
-/// Owns the drains that the autoscaler asked for, and combines all reasons not to place tasks on a machine.
+/// Owns the drains requested by the autoscaler, and combines them with the other reasons not to place tasks
+/// on a machine: cordon, spot notice, lost connection.
 class MachineAvailability {
   public:
     MachineAvailability(Env& env, const Settings& settings, const ClusterCoordinator& cluster,
                         PeerChannel& peers, const MachineRegistry& registry, const CapacityTracker& capacity,
                         const MachineCordons& cordons);
 
-    /// Whether new tasks may be placed there now.
+    /// Whether new tasks may be placed on the machine now.
     [[nodiscard]] bool is_schedulable(const MachineId& id, const Machine& machine) const;
-    /// Drains an idle machine and says so to `from`. A busy one gets no response, and the autoscaler asks
-    /// again another time.
+    /// Starts draining the machine if it is idle, and confirms that to `from`. A request for a busy machine
+    /// gets no response; the autoscaler repeats it later.
     void on_drain_request(const NodeName& from, const wire::DrainRequest& request);
-    /// Periodic: a machine that was not terminated within 20 s of its drain takes tasks again.
+    /// Ends drains that began more than 20 s ago, so that a machine that was not terminated takes tasks
+    /// again. Called periodically.
     void expire_drains();
-    /// Drops what is kept for the machine.
-    void on_machine_removed(const MachineId& id) { drains_.erase(id); }
+    /// Ends the drain of a machine that was removed from the registry.
+    void on_machine_removed(const MachineId& id) { drain_started_at_.erase(id); }
 
   private:
     static constexpr Duration drain_timeout = std::chrono::seconds(20);
@@ -39,7 +41,7 @@
     const MachineRegistry& registry_;
     const CapacityTracker& capacity_;
     const MachineCordons& cordons_;
-    std::map<MachineId, SteadyTime> drains_;  // draining machines, and since when
+    std::map<MachineId, SteadyTime> drain_started_at_;
 };
 
 }  // namespace zincdyke
--- a/src/workers/machine_registry.cpp
+++ b/src/workers/machine_registry.cpp
@@ -56,7 +56,7 @@
 
 void MachineRegistry::mark_terminated(const MachineId& id) {
     if (terminated_.insert(id).second) terminated_order_.push_back(id);
-    if (terminated_order_.size() > max_terminated) {
+    if (terminated_order_.size() > max_terminated_machines) {
         terminated_.erase(terminated_order_.front());
         terminated_order_.pop_front();
     }
--- a/src/workers/machine_registry.h
+++ b/src/workers/machine_registry.h
@@ -1,4 +1,4 @@
-/// The machines of the shards that this node leads, as their newest heartbeats describe them.
+/// Registry of the machines in the shards that this node leads.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -14,58 +14,59 @@
 
 namespace zincdyke {
 
-/// A machine's free capacity as last computed. Read and written by CapacityTracker alone; it is kept here
-/// because every placement request asks for it of every machine.
+/// Cached free capacity of a machine. Only CapacityTracker uses it; it is stored in `Machine` because every
+/// placement request needs it for every machine.
 struct CachedCapacity {
-    std::optional<Resources> free;  // nothing: to be computed
-    std::uint64_t version = 0;      // of what it was computed from
+    std::optional<Resources> free;     // free resources; empty: must be computed
+    std::uint64_t inputs_version = 0;  // version of the jobs and machine types used to compute `free`
 };
 
-/// What the newest heartbeat of a machine says.
+/// State of a machine as reported by its worker's newest heartbeat.
 struct Machine {
     std::string type, zone, address;
     bool spot = false;
-    std::optional<double> spot_notice_s;   // the cloud takes the machine back in so many seconds
-    std::set<TaskRef> active_tasks;        // reported and not ended
-    std::set<TaskAttempt> ended_attempts;  // reported as ended: they take no capacity any more
+    std::optional<double> spot_notice_s;   // time until the cloud reclaims the spot machine; empty: no notice
+    std::set<TaskRef> active_tasks;        // reported tasks that have not ended
+    std::set<TaskAttempt> ended_attempts;  // attempts reported as ended; they no longer use capacity
     AgentLink link;
-    SteadyTime monitored_since{};  // since when its silence counts
+    SteadyTime monitored_since{};  // earliest time from which missing heartbeats are counted
     CachedCapacity cached_capacity;
 
-    /// Takes over a message that is newer than all before, under this node's `term`.
+    /// Updates the machine from a message that is newer than all earlier ones. `term` is this node's term as
+    /// the leader of the machine's shard.
     void apply(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now);
 };
 
-/// Told when the registry forgets a machine, so that whoever keeps state for it does so too.
+/// Is notified when MachineRegistry removes a machine, so that other components can discard their state for
+/// the machine. Runs on the event-loop thread.
 class MachineRemovalObserver {
   public:
     MachineRemovalObserver() = default;
     MachineRemovalObserver(const MachineRemovalObserver&) = delete;
     MachineRemovalObserver& operator=(const MachineRemovalObserver&) = delete;
     virtual ~MachineRemovalObserver() = default;
-    /// Called while the machine is removed; the registry must not be changed from within.
+    /// Called once for each removed machine, during the removal. The observer must not modify the registry.
     virtual void on_machine_removed(const MachineId& id) = 0;
 };
 
-/// Owns the machines that are known here, and remembers those that the cloud terminated. References and
-/// pointers to machines stay valid until the machine is removed.
+/// Owns the state of the registered machines, and the ids of machines that the cloud terminated. Pointers and
+/// references to a machine remain valid until the machine is removed.
 class MachineRegistry {
   public:
-    /// Both must outlive the registry.
+    /// `env` and `observer` must outlive the registry.
     MachineRegistry(Env& env, MachineRemovalObserver& observer) : env_(env), observer_(observer) {}
 
-    /// Null where the machine is unknown.
+    /// Returns the machine, or null if it is not registered.
     [[nodiscard]] Machine* find(const MachineId& id);
     [[nodiscard]] const Machine* find(const MachineId& id) const;
-    /// Whether the machine is known.
     [[nodiscard]] bool contains(const MachineId& id) const { return machines_.contains(id); }
-    /// Whether the machine is known or may still be added.
+    /// Whether the machine is registered, or the registry still has space for it.
     [[nodiscard]] bool can_register(const MachineId& id) const;
-    /// A machine that is new here counts as known from now.
+    /// Returns the machine, and registers it if necessary. A new machine has `monitored_since` set to now.
     Machine& find_or_add(const MachineId& id);
-    /// Nothing happens where the machine is unknown.
+    /// Removes the machine and notifies the observer. Does nothing if the machine is not registered.
     void remove(const MachineId& id);
-    /// Removes those for which `should_remove(id, machine)` holds.
+    /// Removes all machines for which `should_remove(id, machine)` returns true, and notifies the observer.
     template <class Predicate>
     void remove_if(Predicate should_remove);
     [[nodiscard]] auto begin() { return machines_.begin(); }
@@ -73,23 +74,23 @@
     [[nodiscard]] auto begin() const { return machines_.begin(); }
     [[nodiscard]] auto end() const { return machines_.end(); }
 
-    /// The token that commands to the machine bear under this node's `term`.
+    /// Returns the fencing token for commands to the machine under this node's `term`.
     [[nodiscard]] wire::FencingToken token_for(const MachineId& id, Term term) const;
 
-    /// The cloud confirmed that the machine is gone. A late copy of a heartbeat must not bring it back.
+    /// Records that the cloud terminated the machine, so that a delayed heartbeat does not register it again.
     void mark_terminated(const MachineId& id);
     [[nodiscard]] bool is_terminated(const MachineId& id) const { return terminated_.contains(id); }
 
-    /// More than the largest deployment has; beyond it heartbeats of new machines are answered 503.
+    /// Limit on registered machines. Heartbeats of further machines get a 503 response.
     static constexpr std::size_t max_machines = 20'000;
 
   private:
-    static constexpr std::size_t max_terminated = 16'384;
+    static constexpr std::size_t max_terminated_machines = 16'384;
     Env& env_;
     MachineRemovalObserver& observer_;
     std::unordered_map<MachineId, Machine> machines_;
     std::set<MachineId> terminated_;
-    std::deque<MachineId> terminated_order_;  // newest last
+    std::deque<MachineId> terminated_order_;  // terminated machines, oldest first
 };
 
 template <class Predicate>
--- a/src/workers/machine_status_reporter.cpp
+++ b/src/workers/machine_status_reporter.cpp
@@ -23,18 +23,18 @@
 
 std::vector<wire::MachineStatus> MachineStatusReporter::statuses() {
     std::vector<wire::MachineStatus> statuses;
-    if (!cluster_.is_up_to_date()) return statuses;  // what is thought to be ours may be another's by now
+    if (!cluster_.is_up_to_date()) return statuses;
     for (const auto& [id, machine] : registry_)
-        if (cluster_.leader_term(id)) statuses.push_back(status_of(id, machine));
+        if (cluster_.leader_term(id)) statuses.push_back(build_status(id, machine));
     return statuses;
 }
 
-wire::MachineStatus MachineStatusReporter::status_of(const MachineId& id, const Machine& machine) {
+wire::MachineStatus MachineStatusReporter::build_status(const MachineId& id, const Machine& machine) {
     const SteadyTime now = env_.now();
     const bool is_idle = capacity_.is_idle(id, machine);
     SteadyTime& idle_since = idle_since_.try_emplace(id, now).first->second;
     if (!is_idle) idle_since = now;
-    // One whose heartbeats arrive but that does not receive our responses is unreachable all the same.
+    // A machine that sends heartbeats but does not receive the responses counts as unreachable.
     const SteadyTime last_connected = std::max(machine.link.last_connected(), machine.monitored_since);
     wire::MachineStatus status;
     status.id = id;
--- a/src/workers/machine_status_reporter.h
+++ b/src/workers/machine_status_reporter.h
@@ -1,4 +1,4 @@
-/// The machines of this node's shards as the other controllers are told of them.
+/// Reports the machines of this node's shards to the other controllers.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -14,20 +14,21 @@
 
 namespace zincdyke {
 
-/// Owns the time since when each machine was idle at every report.
+/// Builds the machine statuses for peer heartbeats, and owns the time since when each machine has been idle.
 class MachineStatusReporter {
   public:
     MachineStatusReporter(Env& env, const Settings& settings, const StateCache& state_cache,
                           const ClusterCoordinator& cluster, MachineRegistry& registry,
                           const CapacityTracker& capacity, const MachineAvailability& availability);
 
-    /// For the next peer heartbeat. Empty while this node's view of the shards may be out of date.
+    /// Returns the status of every machine in this node's shards, for the next peer heartbeat. Empty while
+    /// the state cache is out of date, because another controller may lead the shards by then.
     [[nodiscard]] std::vector<wire::MachineStatus> statuses();
-    /// Drops what is kept for the machine.
+    /// Discards the idle time of a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { idle_since_.erase(id); }
 
   private:
-    [[nodiscard]] wire::MachineStatus status_of(const MachineId& id, const Machine& machine);
+    [[nodiscard]] wire::MachineStatus build_status(const MachineId& id, const Machine& machine);
     Env& env_;
     const Settings& settings_;
     const StateCache& state_cache_;
@@ -35,8 +36,8 @@
     MachineRegistry& registry_;
     const CapacityTracker& capacity_;
     const MachineAvailability& availability_;
-    std::unordered_map<MachineId, SteadyTime>
-        idle_since_;  // the last report at which it was not, or the first
+    // Time since when each machine has been idle: its last status report as busy, or its first status report.
+    std::unordered_map<MachineId, SteadyTime> idle_since_;
 };
 
 }  // namespace zincdyke
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -6,8 +6,9 @@
 namespace zincdyke {
 
 PlacementScorer::PlacementScorer(Env& env, const Settings& settings, const StateCache& state_cache,
-                                 const ClusterCoordinator& cluster, const PlacementScorerParts& parts)
-    : env_(env), settings_(settings), state_cache_(state_cache), cluster_(cluster), parts_(parts) {}
+                                 const ClusterCoordinator& cluster,
+                                 const PlacementScorerComponents& components)
+    : env_(env), settings_(settings), state_cache_(state_cache), cluster_(cluster), components_(components) {}
 
 void PlacementScorer::on_placement_request(const wire::PlacementRequest& request) {
     ++counts_.placement_requests;
@@ -18,27 +19,28 @@
         response.is_gang = job->spec.shape == wire::Shape::gang;
         const Placement placement{request, *job, state_cache_.required_zone(*job)};
         auto candidates = find_candidates(placement);
-        response.offers = sched::rank(
-            candidates, request.need, request.tasks.size(),
-            {.each_zone = job->spec.one_zone && !placement.zone, .spread_replicas = job->spec.is_service()});
+        response.offers = sched::rank(candidates, request.need, request.tasks.size(),
+                                      {.each_zone = job->spec.one_zone && !placement.required_zone,
+                                       .spread_replicas = job->spec.is_service()});
         counts_.offers += response.offers.size();
-        parts_.capacity.reserve_offers(request.round, request.need, response.offers);
+        components_.capacity.reserve_offers(request.round, request.need, response.offers);
     }
-    parts_.peers.send(request.gatherer, std::move(response));
+    components_.peers.send(request.gatherer, std::move(response));
 }
 
 std::vector<sched::Candidate> PlacementScorer::find_candidates(const Placement& placement) {
-    // Looked up only where there is capacity: in a burst there is none.
-    std::optional<std::vector<const Job*>> preceding;
+    // The jobs with precedence are computed only if a machine has capacity: the computation reads all jobs,
+    // and under load most machines are full.
+    std::optional<std::vector<const Job*>> preceding_jobs;
     std::vector<sched::Candidate> candidates;
-    for (auto& [id, machine] : parts_.registry) {
-        const Resources free = parts_.capacity.free_capacity(id, machine);
+    for (auto& [id, machine] : components_.registry) {
+        const Resources free = components_.capacity.free_capacity(id, machine);
         if (!free.covers(placement.request.need) || !is_eligible(placement, id, machine)) continue;
-        if (!preceding) preceding = jobs_with_precedence(placement.job);
-        const bool is_wanted = std::any_of(
-            preceding->begin(), preceding->end(),
-            [&, &candidate = machine](const Job* job) { return could_use(*job, candidate, free); });
-        if (is_wanted && is_deferred(id)) continue;
+        if (!preceding_jobs) preceding_jobs = jobs_with_precedence(placement.job);
+        const bool is_wanted_by_other_job =
+            std::any_of(preceding_jobs->begin(), preceding_jobs->end(),
+                        [&, &candidate = machine](const Job* job) { return can_use(*job, candidate, free); });
+        if (is_wanted_by_other_job && should_defer(id)) continue;
         candidates.push_back(make_candidate(placement, id, machine, free));
     }
     return candidates;
@@ -47,12 +49,12 @@
 bool PlacementScorer::is_eligible(const Placement& placement, const MachineId& id,
                                   const Machine& machine) const {
     const wire::JobSpec& spec = placement.job.spec;
-    if (!parts_.availability.is_schedulable(id, machine) ||
-        !sched::machine_allowed(spec, placement.zone, machine.type, machine.zone, machine.spot))
+    if (!components_.availability.is_schedulable(id, machine) ||
+        !sched::machine_allowed(spec, placement.required_zone, machine.type, machine.zone, machine.spot))
         return false;
     const auto* type = state_cache_.machine_type(machine.type);
     return type != nullptr && sched::should_use_type(spec, *type, state_cache_.machine_types()) &&
-           !parts_.reserved.is_reserved_from(id, spec);
+           !components_.reserved_machines.is_blocked_for(id, spec);
 }
 
 sched::Candidate PlacementScorer::make_candidate(const Placement& placement, const MachineId& id,
@@ -63,21 +65,23 @@
                                free,
                                state_cache_.machine_type(machine.type)->capacity,
                                has_image(id, machine, placement.request.image),
-                               std::min(parts_.cordons.error_count(id), max_error_penalty),
+                               std::min(components_.cordons.error_count(id), max_error_penalty),
                                0};
-    const auto* failed_on = parts_.cordons.machines_with_failed_tasks(job.spec.id);
-    if (failed_on != nullptr && failed_on->contains(id)) candidate.penalty += failed_here_penalty;
+    const auto* machines_with_failures = components_.cordons.machines_with_failed_tasks(job.spec.id);
+    if (machines_with_failures != nullptr && machines_with_failures->contains(id))
+        candidate.penalty += failed_on_machine_penalty;
     if (job.spec.is_service()) candidate.replicas = replicas_on(id, job.spec.id);
     return candidate;
 }
 
-// The machine is left to a job with precedence, for a moment.
-bool PlacementScorer::is_deferred(const MachineId& id) {
+// Whether to leave the machine to a job with precedence. True until `max_deferral` after the machine's first
+// deferral.
+bool PlacementScorer::should_defer(const MachineId& id) {
     const SteadyTime now = env_.now();
     return now - deferred_since_.try_emplace(id, now).first->second < max_deferral;
 }
 
-bool PlacementScorer::could_use(const Job& job, const Machine& machine, const Resources& free) const {
+bool PlacementScorer::can_use(const Job& job, const Machine& machine, const Resources& free) const {
     const auto* type = state_cache_.machine_type(machine.type);
     return type != nullptr &&
            sched::machine_allowed(job.spec, state_cache_.required_zone(job), machine.type, machine.zone,
@@ -86,22 +90,23 @@
            sched::should_use_type(job.spec, *type, state_cache_.machine_types());
 }
 
-// Relays place each their own jobs; without an order among them, what one relay placed could wait for minutes
-// while another's newer work took each machine that came free.
+// Returns the jobs that should get capacity before `job`. Relays place their jobs independently; without this
+// order, a job could wait for minutes while newer jobs of another relay take each machine that becomes free.
 std::vector<const Job*> PlacementScorer::jobs_with_precedence(const Job& job) const {
-    std::vector<const Job*> preceding;
+    std::vector<const Job*> preceding_jobs;
     for (const auto& [id, other] : state_cache_.jobs()) {
         if (other.spec.shape == wire::Shape::gang || other.cancelled || other.pending() == 0 ||
             id == job.spec.id)
             continue;
         if (has_precedence(other, job) && state_cache_.fits_team_quota(other.spec.team, other.spec.need, 1))
-            preceding.push_back(&other);
+            preceding_jobs.push_back(&other);
     }
-    return preceding;
+    return preceding_jobs;
 }
 
-// Arrays that have waited a while, and those with fewer machine types to go to: tasks a little too large for
-// the common type would wait for the few large machines, which smaller ones fill.
+// Whether `other` should get capacity before `job`: because it can use fewer machine types or, after a
+// minimum waiting time, because of its rank or age. If jobs with fewer types had no precedence, tasks that
+// need a large machine would wait while smaller tasks fill the few large machines.
 bool PlacementScorer::has_precedence(const Job& other, const Job& job) const {
     const auto& types = state_cache_.machine_types();
     const bool has_fewer_types =
@@ -114,8 +119,8 @@
     return is_older && !sched::has_fewer_types(job.spec, other.spec, types);
 }
 
-// Holds the image, or fetches it for another task by now: fetches at the same time share the machine's rate,
-// so that a second image beside the first delays both.
+// Whether the machine has the image or is already fetching it for another task. Concurrent fetches share the
+// machine's bandwidth, so fetching a second image would delay both.
 bool PlacementScorer::has_image(const MachineId& id, const Machine& machine, const std::string& image) const {
     const auto* type = state_cache_.machine_type(machine.type);
     if (type != nullptr && state_cache_.holds_image(id, image, type->cache_gb)) return true;
@@ -133,46 +138,47 @@
 }
 
 void PlacementScorer::on_placement_decision(const wire::PlacementDecision& decision) {
-    parts_.capacity.release_offers(decision.round);
+    components_.capacity.release_offers(decision.round);
     std::vector<TaskIndex> rejected;
     for (const auto& assignment : decision.accepted)
         if (!try_start(decision.round, {decision.job, assignment.task}, assignment.machine))
             rejected.push_back(assignment.task);
     if (!rejected.empty())
-        parts_.peers.send(decision.round.relay,
-                          wire::PlacementFailure{decision.round, decision.job, std::move(rejected)});
+        components_.peers.send(decision.round.relay,
+                               wire::PlacementFailure{decision.round, decision.job, std::move(rejected)});
 }
 
-// False where the capacity is no longer there: checked again here, and once more by the commit.
+// Begins to commit a task start. Returns false if the machine can no longer take the task; if the result is
+// true, the commit may still fail.
 bool PlacementScorer::try_start(const wire::RoundId& round, const TaskRef& ref, const MachineId& id) {
     const Job* job = state_cache_.job(ref.job);
-    Machine* machine = parts_.registry.find(id);
-    if (job == nullptr || machine == nullptr || !parts_.availability.is_schedulable(id, *machine) ||
-        parts_.capacity.is_start_pending(ref) ||
-        !parts_.capacity.free_capacity(id, *machine).covers(job->spec.need))
+    Machine* machine = components_.registry.find(id);
+    if (job == nullptr || machine == nullptr || !components_.availability.is_schedulable(id, *machine) ||
+        components_.capacity.is_start_pending(ref) ||
+        !components_.capacity.free_capacity(id, *machine).covers(job->spec.need))
         return false;
     deferred_since_.erase(id);
-    parts_.capacity.reserve_start(ref, id, job->spec.need);
+    components_.capacity.reserve_start(ref, id, job->spec.need);
     StartProgress progress;
     progress.queue_time = millis(env_.wall().value() - job->submitted.value());
     progress.assigned_at = env_.now();
-    parts_.committer.commit_start(ref, id, machine->zone,
-                                  [this, round, ref, id, progress](bool is_committed) {
-                                      on_start_decided(round, ref, id, progress, is_committed);
-                                  });
+    components_.committer.commit_start(ref, id, machine->zone,
+                                       [this, round, ref, id, progress](bool is_committed) {
+                                           on_start_result(round, ref, id, progress, is_committed);
+                                       });
     return true;
 }
 
-void PlacementScorer::on_start_decided(const wire::RoundId& round, const TaskRef& ref, const MachineId& id,
-                                       const StartProgress& progress, bool is_committed) {
-    parts_.capacity.release_start(ref);
+void PlacementScorer::on_start_result(const wire::RoundId& round, const TaskRef& ref, const MachineId& id,
+                                      const StartProgress& progress, bool is_committed) {
+    components_.capacity.release_start(ref);
     if (!is_committed) {
-        parts_.peers.send(round.relay, wire::PlacementFailure{round, ref.job, {ref.task}});
+        components_.peers.send(round.relay, wire::PlacementFailure{round, ref.job, {ref.task}});
         return;
     }
-    if (parts_.registry.contains(id))
-        parts_.starts.on_start_committed(id, {ref, state_cache_.task(ref).attempt}, progress);
-    parts_.heartbeats.deliver_start(id);
+    if (components_.registry.contains(id))
+        components_.start_tracker.on_start_committed(id, {ref, state_cache_.task(ref).attempt}, progress);
+    components_.heartbeat_handler.deliver_start(id);
 }
 
 }  // namespace zincdyke
--- a/src/workers/reserved_machines.cpp
+++ b/src/workers/reserved_machines.cpp
@@ -10,7 +10,7 @@
     updated_at_ = env_.now();
 }
 
-bool ReservedMachines::is_reserved_from(const MachineId& id, const wire::JobSpec& job) const {
+bool ReservedMachines::is_blocked_for(const MachineId& id, const wire::JobSpec& job) const {
     const auto found = reservations_.find(id);
     return found != reservations_.end() && !sched::may_use_reserved(job, found->second) &&
            env_.now() - updated_at_ < update_timeout;
--- a/src/workers/reserved_machines.h
+++ b/src/workers/reserved_machines.h
@@ -1,4 +1,4 @@
-/// Machines that the autoscaler reserves for classes of jobs or for single ones.
+/// Machines that the autoscaler reserves for a job class or for a single job.
 #pragma once
 #include <map>
 
@@ -8,16 +8,17 @@
 
 namespace zincdyke {
 
-/// Owns the reservations of the autoscaler's latest update. They end when no update comes for 6 s: an
-/// autoscaler leader that is gone leaves none behind.
+/// Holds the reservations of the autoscaler's latest update. They expire after 6 s without an update, so that
+/// a failed autoscaler leader leaves no reservations behind.
 class ReservedMachines {
   public:
     explicit ReservedMachines(Env& env) : env_(env) {}
 
-    /// Replaces all reservations, with the messages of the same update that follow.
+    /// Applies one message of a reservation update. The first message of an update discards all earlier
+    /// reservations.
     void on_update(const wire::ReservationUpdate& update);
-    /// The machine is reserved, and tasks of this job may not use it meanwhile.
-    [[nodiscard]] bool is_reserved_from(const MachineId& id, const wire::JobSpec& job) const;
+    /// Whether a reservation prevents tasks of the job from using the machine.
+    [[nodiscard]] bool is_blocked_for(const MachineId& id, const wire::JobSpec& job) const;
 
   private:
     static constexpr Duration update_timeout = std::chrono::seconds(6);
--- a/src/workers/start_times.cpp
+++ b/src/workers/start_times.cpp
@@ -20,7 +20,7 @@
     return "";
 }
 
-Duration step_duration(const StartProgress& progress, StartStep step, SteadyTime running) {
+Duration step_duration(const StartProgress& progress, StartStep step, SteadyTime running_since) {
     switch (step) {
         case StartStep::queue:
             return progress.queue_time;
@@ -31,19 +31,20 @@
         case StartStep::image:
             return progress.image_ready_at - progress.sent_at;
         case StartStep::gang:
-            return running - progress.image_ready_at;
+            return running_since - progress.image_ready_at;
     }
     return {};
 }
 
-void StartTimes::add(const std::string& job_class, const StartProgress& progress, SteadyTime running) {
-    if (by_class_.size() >= max_classes && !by_class_.contains(job_class)) return;
-    Steps& steps = by_class_[job_class];
+void StartTimes::add(const std::string& job_class, const StartProgress& progress, SteadyTime running_since) {
+    if (by_class_.size() >= max_job_classes && !by_class_.contains(job_class)) return;
+    StepHistograms& histograms = by_class_[job_class];
     for (std::size_t i = 0; i < start_step_count; ++i) {
-        const double took = to_seconds(step_duration(progress, static_cast<StartStep>(i), running));
-        const auto bucket =
-            std::lower_bound(bucket_bounds_s.begin(), bucket_bounds_s.end(), took) - bucket_bounds_s.begin();
-        ++steps[i][static_cast<std::size_t>(bucket)];
+        const double duration_s =
+            to_seconds(step_duration(progress, static_cast<StartStep>(i), running_since));
+        const auto bucket = std::lower_bound(bucket_bounds_s.begin(), bucket_bounds_s.end(), duration_s) -
+                            bucket_bounds_s.begin();
+        ++histograms[i][static_cast<std::size_t>(bucket)];
     }
 }
 
--- a/src/workers/start_tracker.cpp
+++ b/src/workers/start_tracker.cpp
@@ -27,21 +27,21 @@
     StartDelivery& delivery = starts.deliveries[{status.task, status.attempt}];
     delivery.agent_epoch = agent_epoch;
     delivery.was_reported = true;
-    follow(id, starts, status, job);
+    update_progress(id, starts, status, job);
 }
 
-void StartTracker::follow(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
-                          const Job& job) {
+void StartTracker::update_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
+                                   const Job& job) {
     const auto start = starts.progress.find({status.task, status.attempt});
     if (start == starts.progress.end() || status.phase == wire::TaskPhase::fetching) return;
     if (start->second.image_ready_at == SteadyTime{}) start->second.image_ready_at = env_.now();
     if (status.phase == wire::TaskPhase::waiting) return;
-    if (start->second.sent_at != SteadyTime{}) on_running(id, status, job, start->second);
+    if (start->second.sent_at != SteadyTime{}) record_running(id, status, job, start->second);
     starts.progress.erase(start);
 }
 
-void StartTracker::on_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
-                              const StartProgress& progress) {
+void StartTracker::record_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
+                                  const StartProgress& progress) {
     const SteadyTime now = env_.now();
     const auto step_ms = [&](StartStep step) { return step_duration(progress, step, now).count() / 1000; };
     log::info(
@@ -56,14 +56,16 @@
 void StartTracker::prune(const MachineId& id) {
     const auto found = machines_.find(id);
     if (found == machines_.end()) return;
-    const auto is_over = [&](const auto& entry) {
+    const auto is_no_longer_placed = [&](const auto& entry) {
         const TaskState task = state_cache_.task(entry.first.task);
         return task.status != TaskState::Status::placed || task.machine != id ||
                task.attempt != entry.first.attempt;
     };
-    const std::size_t many = 2 * state_cache_.tasks_on(id).size() + 32;
-    if (found->second.deliveries.size() > many) std::erase_if(found->second.deliveries, is_over);
-    if (found->second.progress.size() > many) std::erase_if(found->second.progress, is_over);
+    const std::size_t max_entries = 2 * state_cache_.tasks_on(id).size() + 32;
+    if (found->second.deliveries.size() > max_entries)
+        std::erase_if(found->second.deliveries, is_no_longer_placed);
+    if (found->second.progress.size() > max_entries)
+        std::erase_if(found->second.progress, is_no_longer_placed);
 }
 
 const StartDelivery* StartTracker::delivery(const MachineId& id, const TaskAttempt& attempt) const {
--- a/src/workers/start_tracker.h
+++ b/src/workers/start_tracker.h
@@ -1,4 +1,4 @@
-/// Follows committed starts until their tasks run.
+/// Tracks committed task starts until the tasks run.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,42 +12,47 @@
 
 namespace zincdyke {
 
-/// What became of the start of an attempt that was committed to a machine.
+/// Delivery state of the start command for one task attempt.
 struct StartDelivery {
-    std::uint64_t agent_epoch = 0;  // in which it was last sent or observed
-    int sent_count = 0;             // responses that carried the start
-    bool was_reported = false;      // the worker has reported the task
+    std::uint64_t agent_epoch = 0;  // agent epoch in which the start was last sent or the task last reported
+    int sent_count = 0;             // number of heartbeat responses that carried the start command
+    bool was_reported = false;      // whether the worker has reported the task
 };
 
-/// Owns the delivery state of every start, and the times of those that this node decided.
+/// Owns the delivery state of task starts on the machines of this node's shards. Measures the step durations
+/// of the starts that this node decided.
 class StartTracker {
   public:
     StartTracker(Env& env, const StateCache& state_cache) : env_(env), state_cache_(state_cache) {}
 
-    /// The start of this attempt was committed; `progress` tells how long it took until then.
+    /// Called when the start of an attempt on the machine has been committed. `progress` contains the times
+    /// of the steps before the commit.
     void on_start_committed(const MachineId& id, const TaskAttempt& attempt, const StartProgress& progress);
-    /// A response with the start goes to the worker.
+    /// Called when a heartbeat response that carries the start command is sent to the worker.
     void on_start_sent(const MachineId& id, const TaskAttempt& attempt, std::uint64_t agent_epoch);
-    /// The worker reports the task; `job` is its job.
+    /// Called when a heartbeat reports a task that is placed on the machine; `job` is the task's job.
     void on_task_reported(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
                           const Job& job);
-    /// Drops attempts that are over, once there are many.
+    /// Discards attempts that are no longer placed on the machine, once the machine has many entries.
     void prune(const MachineId& id);
-    /// Drops what is kept for the machine.
+    /// Discards the delivery state of all starts on a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { machines_.erase(id); }
 
-    /// Null: the start was neither sent nor observed. Valid until the next change.
+    /// Returns the delivery state of an attempt's start, or null if the start was neither sent nor reported.
+    /// The pointer is valid until the next call of a non-const function.
     [[nodiscard]] const StartDelivery* delivery(const MachineId& id, const TaskAttempt& attempt) const;
     [[nodiscard]] const StartTimes& times() const { return times_; }
 
   private:
     struct MachineStarts {
         std::map<TaskAttempt, StartDelivery> deliveries;
-        std::map<TaskAttempt, StartProgress> progress;  // of starts decided here and not seen running yet
+        std::map<TaskAttempt, StartProgress>
+            progress;  // starts decided by this node whose tasks do not run yet
     };
-    void follow(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status, const Job& job);
-    void on_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
-                    const StartProgress& progress);
+    void update_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
+                         const Job& job);
+    void record_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
+                        const StartProgress& progress);
     Env& env_;
     const StateCache& state_cache_;
     std::unordered_map<MachineId, MachineStarts> machines_;
--- a/src/workers/task_attempt.h
+++ b/src/workers/task_attempt.h
@@ -1,10 +1,10 @@
-/// Names one attempt to run a task.
+/// Identifier of one attempt to run a task.
 #pragma once
 #include "base/types.h"
 
 namespace zincdyke {
 
-/// One attempt of a task: each start that is committed bears a new number.
+/// A task together with an attempt number. Every committed start of a task has a new attempt number.
 struct TaskAttempt {
     TaskRef task;
     Attempt attempt = 0;
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -7,7 +7,7 @@
 
 namespace zincdyke {
 namespace {
-// A machine that lacks the resources or the means for a task gets no more for so long.
+// Cordon of a machine that rejected a task because it cannot run it or lacks the resources.
 constexpr Duration rejected_task_cordon = std::chrono::seconds(3);
 
 bool has_gang_failed(const Job& job) {
@@ -17,35 +17,37 @@
 
 TaskReconciler::TaskReconciler(const Settings& settings, const StateCache& state_cache,
                                const ClusterCoordinator& cluster, TaskCommitter& committer,
-                               StartTracker& starts, MachineCordons& cordons, const CommandSender& sender)
+                               StartTracker& start_tracker, MachineCordons& cordons,
+                               const CommandSender& sender)
     : settings_(settings),
       state_cache_(state_cache),
       cluster_(cluster),
       committer_(committer),
-      starts_(starts),
+      start_tracker_(start_tracker),
       cordons_(cordons),
       sender_(sender) {}
 
 std::vector<wire::Command> TaskReconciler::reconcile(const MachineId& id, Machine& machine,
                                                      const wire::Heartbeat& heartbeat, Term term) {
     std::vector<wire::Command> commands;
-    std::set<TaskRef> mentioned;
+    std::set<TaskRef> reported_tasks;
     for (const auto& status : heartbeat.tasks) {
-        // No start of a task here while another attempt of it is still around.
-        if (status.phase != wire::TaskPhase::ended || is_placed_on(id, status)) mentioned.insert(status.task);
-        if (const auto command = reconcile_reported(id, heartbeat, status, term))
+        // A task is not started on a machine that still runs another attempt of it.
+        if (status.phase != wire::TaskPhase::ended || is_placed_on(id, status))
+            reported_tasks.insert(status.task);
+        if (const auto command = reconcile_reported_task(id, heartbeat, status, term))
             commands.push_back(*command);
     }
     for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id))) {
-        if (mentioned.contains(ref)) continue;
-        if (const auto command = reconcile_absent(id, machine, heartbeat, ref, term))
+        if (reported_tasks.contains(ref)) continue;
+        if (const auto command = reconcile_missing_task(id, machine, heartbeat, ref, term))
             commands.push_back(*command);
     }
-    starts_.prune(id);
+    start_tracker_.prune(id);
     return commands;
 }
 
-std::vector<wire::Command> TaskReconciler::stops_of_cancelled(const wire::Heartbeat& heartbeat) const {
+std::vector<wire::Command> TaskReconciler::stops_for_cancelled_jobs(const wire::Heartbeat& heartbeat) const {
     std::vector<wire::Command> commands;
     for (const auto& status : heartbeat.tasks)
         if (const Job* job = state_cache_.job(status.task.job);
@@ -54,7 +56,7 @@
     return commands;
 }
 
-void TaskReconciler::release_all(const MachineId& id, ReleaseReason reason) {
+void TaskReconciler::release_all_tasks(const MachineId& id, ReleaseReason reason) {
     for (const auto& ref : std::set<TaskRef>(state_cache_.tasks_on(id)))
         committer_.commit_release(ref, state_cache_.task(ref).attempt, id, reason);
 }
@@ -65,14 +67,16 @@
            task.machine == id && task.attempt == status.attempt;
 }
 
-std::optional<wire::Command> TaskReconciler::reconcile_reported(const MachineId& id,
-                                                                const wire::Heartbeat& heartbeat,
-                                                                const wire::TaskStatus& status, Term term) {
+std::optional<wire::Command> TaskReconciler::reconcile_reported_task(const MachineId& id,
+                                                                     const wire::Heartbeat& heartbeat,
+                                                                     const wire::TaskStatus& status,
+                                                                     Term term) {
     const Job* job = state_cache_.job(status.task.job);
     const bool is_placed_here = is_placed_on(id, status);
-    if (is_placed_here) starts_.on_task_reported(id, status, heartbeat.sequence.agent_epoch, *job);
+    if (is_placed_here) start_tracker_.on_task_reported(id, status, heartbeat.sequence.agent_epoch, *job);
     if (status.phase == wire::TaskPhase::ended) {
-        // Its end is committed already, or it was never ours to count.
+        // The end of an attempt that is not placed on the machine needs no commit, so the worker may discard
+        // it.
         if (!is_placed_here) return wire::Command{wire::CommandKind::forget, status.task, status.attempt, 0};
         commit_end(id, heartbeat, status, term);
         return std::nullopt;
@@ -82,12 +86,13 @@
                   status.attempt, id.value());
         return wire::Command{wire::CommandKind::stop, status.task, status.attempt, 0};
     }
-    return stop_for(heartbeat, status, *job);
+    return stop_command_for(heartbeat, status, *job);
 }
 
-// The stop of a task that is placed where it runs, if it is not wanted there any more.
-std::optional<wire::Command> TaskReconciler::stop_for(const wire::Heartbeat& heartbeat,
-                                                      const wire::TaskStatus& status, const Job& job) const {
+// Returns a stop command if a task that is placed on the machine should no longer run there.
+std::optional<wire::Command> TaskReconciler::stop_command_for(const wire::Heartbeat& heartbeat,
+                                                              const wire::TaskStatus& status,
+                                                              const Job& job) const {
     if (job.cancelled || has_gang_failed(job))
         return wire::Command{wire::CommandKind::stop, status.task, status.attempt, 0};
     const wire::Command stop_with_grace{wire::CommandKind::stop, status.task, status.attempt,
@@ -96,8 +101,8 @@
         if (status.phase == wire::TaskPhase::saving) return std::nullopt;
         return stop_with_grace;
     }
-    // A task that can save does so as late as the notice allows, and a replica moves then; an array's task
-    // that can't save runs on: it may finish.
+    // After a spot notice, tasks that can save a checkpoint and service replicas are stopped as late as the
+    // notice allows. Other tasks keep running because they may finish in time.
     const bool can_move = job.spec.checkpoint_s > 0 || job.spec.is_service();
     if (heartbeat.notice_s && can_move && status.phase == wire::TaskPhase::running &&
         *heartbeat.notice_s < job.spec.save_s + 2.5 * settings_.report_s)
@@ -105,7 +110,7 @@
     return std::nullopt;
 }
 
-// The end of an attempt that is placed on the machine.
+// Commits the reported end of an attempt that is placed on the machine.
 void TaskReconciler::commit_end(const MachineId& id, const wire::Heartbeat& heartbeat,
                                 const wire::TaskStatus& status, Term term) {
     const Job& job = *state_cache_.job(status.task.job);
@@ -114,8 +119,8 @@
         committer_.commit_completion(status.task, status.attempt, id);
         return;
     }
-    // A failed end is believed only of a heartbeat that shows our term. A copy of an older one may be late,
-    // and since then the same attempt may have been started again in a new epoch.
+    // An end that makes the task pending again is committed only if the heartbeat carries this node's term.
+    // An older heartbeat may arrive late, after the same attempt has been started again in a new agent epoch.
     if (heartbeat.token.term != term) return;
     if (status.cause == wire::ExitCause::error) cordons_.on_task_failed(id, job);
     if (status.cause == wire::ExitCause::no_room || status.cause == wire::ExitCause::unknown)
@@ -123,10 +128,10 @@
     committer_.commit_release(status.task, status.attempt, id, release_reason(status.cause));
 }
 
-std::optional<ReleaseReason> TaskReconciler::prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
-                                                           const StartDelivery* delivery) {
+std::optional<ReleaseReason> TaskReconciler::absence_reason(const wire::Heartbeat& heartbeat, const Job& job,
+                                                            const StartDelivery* delivery) {
     if (delivery != nullptr && delivery->was_reported) return ReleaseReason::missing_from_heartbeat;
-    // The lease under which it was sent is over, or response after response with it was lost.
+    // The agent epoch to which the start was sent has ended, or several responses with the start were lost.
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
         return ReleaseReason::start_not_acknowledged;
@@ -134,19 +139,21 @@
     return std::nullopt;
 }
 
-// What is placed on the machine and not in its heartbeat is to be started or, by proof, over.
-std::optional<wire::Command> TaskReconciler::reconcile_absent(const MachineId& id, Machine& machine,
-                                                              const wire::Heartbeat& heartbeat,
-                                                              const TaskRef& ref, Term term) {
+// Handles a task that is placed on the machine but missing from its heartbeat: starts the task, or releases
+// the attempt if it has provably ended or will not start.
+std::optional<wire::Command> TaskReconciler::reconcile_missing_task(const MachineId& id, Machine& machine,
+                                                                    const wire::Heartbeat& heartbeat,
+                                                                    const TaskRef& ref, Term term) {
     const TaskAttempt attempt{ref, state_cache_.task(ref).attempt};
     const Job* job = state_cache_.job(ref.job);
-    // Judged to be over, only not committed yet (the key-value store may be unreachable): a worker back in a
-    // new epoch must not be told to start it again, or it would run while its successor is started elsewhere.
+    // The end of this attempt is decided but may not be committed for a while, for example while the
+    // key-value store is unreachable. Starting the attempt again would let it run at the same time as its
+    // successor.
     if (job == nullptr || committer_.has_pending_end(ref, attempt.attempt)) return std::nullopt;
-    const StartDelivery* delivery = starts_.delivery(id, attempt);
-    if (const auto reason = prove_absence(heartbeat, *job, delivery)) {
-        // Only a heartbeat that shows our term is proof: no start of an earlier leader counts any more, and
-        // those in our responses to earlier heartbeats were executed or dropped before this one was sent.
+    const StartDelivery* delivery = start_tracker_.delivery(id, attempt);
+    if (const auto reason = absence_reason(heartbeat, *job, delivery)) {
+        // Only a heartbeat with this node's term proves that the attempt does not run: the worker rejects
+        // start commands of earlier leaders, and has executed or discarded those that this node sent before.
         if (heartbeat.token.term == term) committer_.commit_release(ref, attempt.attempt, id, *reason);
         return std::nullopt;
     }
@@ -155,10 +162,10 @@
                   attempt.attempt, id.value(), delivery->sent_count);
         machine.link.mark_responses_unacknowledged();
     }
-    // Without the key-value store nothing is started: the job may be cancelled and the shard another's by
-    // now.
+    // No task is started while the state cache is out of date: the job may be cancelled, or another
+    // controller may lead the shard.
     if (!cluster_.is_up_to_date()) return std::nullopt;
-    starts_.on_start_sent(id, attempt, heartbeat.sequence.agent_epoch);
+    start_tracker_.on_start_sent(id, attempt, heartbeat.sequence.agent_epoch);
     return wire::Command{wire::CommandKind::start, ref, attempt.attempt, 0};
 }
 
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -1,4 +1,4 @@
-/// Compares what a machine reports with what is committed to it.
+/// Reconciles the tasks that a machine reports with the tasks placed on it.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,43 +16,48 @@
 
 namespace zincdyke {
 
-/// Turns the differences into commands to the worker, and commits the ends that a heartbeat proves. Keeps no
-/// state of its own.
+/// Derives commands to a worker from the differences between reported and placed tasks, and commits the task
+/// ends that a heartbeat proves. Stateless.
 class TaskReconciler {
   public:
     TaskReconciler(const Settings& settings, const StateCache& state_cache, const ClusterCoordinator& cluster,
-                   TaskCommitter& committer, StartTracker& starts, MachineCordons& cordons,
+                   TaskCommitter& committer, StartTracker& start_tracker, MachineCordons& cordons,
                    const CommandSender& sender);
 
-    /// The commands that answer the machine's newest heartbeat, under this node's `term`.
+    /// Returns the commands for the response to the machine's newest heartbeat, and commits the task ends
+    /// that the heartbeat proves. `term` is this node's term as the leader of the machine's shard.
     [[nodiscard]] std::vector<wire::Command> reconcile(const MachineId& id, Machine& machine,
                                                        const wire::Heartbeat& heartbeat, Term term);
-    /// Stops for all that the heartbeat shows of cancelled jobs: right also in response to an old heartbeat.
-    [[nodiscard]] std::vector<wire::Command> stops_of_cancelled(const wire::Heartbeat& heartbeat) const;
-    /// Commits that all attempts placed on the machine are over; `reason` is for the log.
-    void release_all(const MachineId& id, ReleaseReason reason);
+    /// Returns stop commands for all tasks of cancelled jobs in the heartbeat. Also valid for an outdated
+    /// heartbeat, because cancellations are final.
+    [[nodiscard]] std::vector<wire::Command> stops_for_cancelled_jobs(const wire::Heartbeat& heartbeat) const;
+    /// Commits the release of all attempts placed on the machine. `reason` appears in the log only.
+    void release_all_tasks(const MachineId& id, ReleaseReason reason);
 
   private:
-    // Responses with the same start before it is taken as never acknowledged.
+    // Number of responses that carried the same start command without effect after which the start counts as
+    // not acknowledged.
     static constexpr int max_start_sends = 2;
     [[nodiscard]] bool is_placed_on(const MachineId& id, const wire::TaskStatus& status) const;
-    std::optional<wire::Command> reconcile_reported(const MachineId& id, const wire::Heartbeat& heartbeat,
-                                                    const wire::TaskStatus& status, Term term);
-    [[nodiscard]] std::optional<wire::Command> stop_for(const wire::Heartbeat& heartbeat,
-                                                        const wire::TaskStatus& status, const Job& job) const;
+    std::optional<wire::Command> reconcile_reported_task(const MachineId& id,
+                                                         const wire::Heartbeat& heartbeat,
+                                                         const wire::TaskStatus& status, Term term);
+    [[nodiscard]] std::optional<wire::Command> stop_command_for(const wire::Heartbeat& heartbeat,
+                                                                const wire::TaskStatus& status,
+                                                                const Job& job) const;
     void commit_end(const MachineId& id, const wire::Heartbeat& heartbeat, const wire::TaskStatus& status,
                     Term term);
-    std::optional<wire::Command> reconcile_absent(const MachineId& id, Machine& machine,
-                                                  const wire::Heartbeat& heartbeat, const TaskRef& ref,
-                                                  Term term);
-    // Why a task that the heartbeat does not mention is over or never began; nothing: it may still start.
-    static std::optional<ReleaseReason> prove_absence(const wire::Heartbeat& heartbeat, const Job& job,
-                                                      const StartDelivery* delivery);
+    std::optional<wire::Command> reconcile_missing_task(const MachineId& id, Machine& machine,
+                                                        const wire::Heartbeat& heartbeat, const TaskRef& ref,
+                                                        Term term);
+    // Returns why a task missing from the heartbeat has ended or will not start; empty: it may still start.
+    static std::optional<ReleaseReason> absence_reason(const wire::Heartbeat& heartbeat, const Job& job,
+                                                       const StartDelivery* delivery);
     const Settings& settings_;
     const StateCache& state_cache_;
     const ClusterCoordinator& cluster_;
     TaskCommitter& committer_;
-    StartTracker& starts_;
+    StartTracker& start_tracker_;
     MachineCordons& cordons_;
     const CommandSender& sender_;
 };
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -13,37 +13,37 @@
       registry_(env, *this),
       capacity_(env, state_cache, registry_),
       cordons_(env),
-      reserved_(env),
-      starts_(env, state_cache),
+      reserved_machines_(env),
+      start_tracker_(env, state_cache),
       availability_(env, settings, cluster, peers, registry_, capacity_, cordons_),
       notifier_(env, settings, state_cache, peers, capacity_, availability_),
-      sender_(env, settings, state_cache, cluster, registry_, starts_),
+      sender_(env, settings, state_cache, cluster, registry_, start_tracker_),
       announcer_(env, state_cache, cluster, registry_),
-      reconciler_(settings, state_cache, cluster, committer, starts_, cordons_, sender_),
+      reconciler_(settings, state_cache, cluster, committer, start_tracker_, cordons_, sender_),
       lease_monitor_(env, settings, state_cache, cluster, registry_, announcer_, reconciler_),
-      heartbeats_(env, settings, state_cache, cluster, cancellation_watermark, registry_, availability_,
-                  notifier_, sender_, reconciler_, lease_monitor_),
-      scorer_(
-          env, settings, state_cache, cluster,
-          {committer, peers, registry_, capacity_, availability_, cordons_, reserved_, starts_, heartbeats_}),
+      heartbeat_handler_(env, settings, state_cache, cluster, cancellation_watermark, registry_,
+                         availability_, notifier_, sender_, reconciler_, lease_monitor_),
+      scorer_(env, settings, state_cache, cluster,
+              {committer, peers, registry_, capacity_, availability_, cordons_, reserved_machines_,
+               start_tracker_, heartbeat_handler_}),
       reporter_(env, settings, state_cache, cluster, registry_, capacity_, availability_) {}
 
-void WorkerManager::start() { sweep(); }
+void WorkerManager::start() { run_periodic_work(); }
 
-void WorkerManager::sweep() {
-    env_.after(sweep_interval, [this] { sweep(); });
+void WorkerManager::run_periodic_work() {
+    env_.after(periodic_work_interval, [this] { run_periodic_work(); });
     capacity_.refresh_machine_types();
     capacity_.expire_reservations();
-    sender_.forget_ended_preemptions();
+    sender_.discard_ended_preemptions();
     if (!cluster_.is_synced()) return;
-    announcer_.announce_due();
+    announcer_.send_due_announcements();
     lease_monitor_.transfer_silent_shards();
     lease_monitor_.expire_leases();
     availability_.expire_drains();
 }
 
 void WorkerManager::handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply) {
-    heartbeats_.handle(heartbeat, reply);
+    heartbeat_handler_.handle(heartbeat, reply);
 }
 
 void WorkerManager::on_placement_request(const wire::PlacementRequest& request) {
@@ -62,14 +62,14 @@
     for (const auto& id : notification.machines) {
         announcer_.on_machine_terminated(id);
         registry_.mark_terminated(id);
-        reconciler_.release_all(id, ReleaseReason::machine_terminated);
+        reconciler_.release_all_tasks(id, ReleaseReason::machine_terminated);
         if (state_cache_.tasks_on(id).empty()) registry_.remove(id);
         state_cache_.forget_machine(id);
     }
 }
 
 void WorkerManager::on_reservation_update(const wire::ReservationUpdate& update) {
-    reserved_.on_update(update);
+    reserved_machines_.on_update(update);
 }
 
 void WorkerManager::on_preemption_request(const wire::PreemptionRequest& request) {
@@ -87,15 +87,15 @@
 void WorkerManager::on_leadership_acquired(std::uint32_t shard) {
     log::info("event=shard_leadership_acquired shard={} term={}", shard, cluster_.term(shard)->value());
     lease_monitor_.on_leadership_acquired(shard);
-    announcer_.restart(shard);
-    announcer_.announce_due();
+    announcer_.reset_retries(shard);
+    announcer_.send_due_announcements();
 }
 
 WorkerManager::Counts WorkerManager::counts() const {
     Counts counts;
-    counts.heartbeats = heartbeats_.counts().heartbeats;
-    counts.stale_heartbeats = heartbeats_.counts().stale_heartbeats;
-    counts.leases_not_renewed = heartbeats_.counts().leases_not_renewed;
+    counts.heartbeats = heartbeat_handler_.counts().heartbeats;
+    counts.stale_heartbeats = heartbeat_handler_.counts().stale_heartbeats;
+    counts.leases_not_renewed = heartbeat_handler_.counts().leases_not_renewed;
     counts.placement_requests = scorer_.counts().placement_requests;
     counts.offers = scorer_.counts().offers;
     counts.capacity_computations = capacity_.computation_count();
@@ -105,7 +105,7 @@
 
 void WorkerManager::on_machine_removed(const MachineId& id) {
     cordons_.on_machine_removed(id);
-    starts_.on_machine_removed(id);
+    start_tracker_.on_machine_removed(id);
     availability_.on_machine_removed(id);
     scorer_.on_machine_removed(id);
     reporter_.on_machine_removed(id);
--- a/src/workers/worker_manager.h
+++ b/src/workers/worker_manager.h
@@ -1,4 +1,5 @@
-/// A shard leader's side of the workers: heartbeats, commands, leases, capacity, offers and starts.
+/// Manages the workers of a leader's shards: heartbeats, commands, leases, capacity, placement offers and
+/// task starts.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -29,61 +30,64 @@
 
 namespace zincdyke {
 
-/// Puts the parts of this package together, passes each message to the part it concerns, and runs their
-/// periodic work in one order under one timer. Runs on the event loop; nothing here blocks or throws.
+/// Composes the classes of the `workers` package, passes each message to the class that handles it, and runs
+/// their periodic work from one timer. Runs on the event-loop thread; no function blocks or throws.
 class WorkerManager : private MachineRemovalObserver {
   public:
-    /// All arguments must outlive the manager.
+    /// All arguments must outlive the WorkerManager.
     WorkerManager(Env& env, const Settings& settings, StateCache& state_cache, ClusterCoordinator& cluster,
                   const CancellationWatermark& cancellation_watermark, TaskCommitter& committer,
                   PeerChannel& peers);
-    /// Begins the periodic work. Once.
+    /// Starts the periodic work. To be called once.
     void start();
 
-    /// See HeartbeatHandler::handle.
+    /// Handles a worker's heartbeat. See HeartbeatHandler::handle.
     void handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply);
 
-    /// As scorer: sends offers to the request's gatherer.
+    /// Sends placement offers to the request's gatherer, in the role of a scorer.
     void on_placement_request(const wire::PlacementRequest& request);
-    /// As scorer: commits the starts on the chosen machines.
+    /// Commits task starts on the machines that a gatherer chose, in the role of a scorer.
     void on_placement_decision(const wire::PlacementDecision& decision);
 
-    /// From the autoscaler: place nothing more on a machine.
+    /// Handles the autoscaler's request to place no more tasks on a machine.
     void on_drain_request(const NodeName& from, const wire::DrainRequest& request);
-    /// From the autoscaler: the cloud confirmed that machines are gone; nothing runs there any more.
+    /// Handles the autoscaler's notification that the cloud terminated machines: releases their tasks.
     void on_machines_terminated(const wire::MachinesTerminatedNotification& notification);
-    /// From the autoscaler: machines reserved for some jobs.
+    /// Handles the autoscaler's update of the machines that are reserved for certain jobs.
     void on_reservation_update(const wire::ReservationUpdate& update);
-    /// From the autoscaler: stops a task, with time to save if it can.
+    /// Handles the autoscaler's request to stop a task for a job of higher rank, with time to save a
+    /// checkpoint.
     void on_preemption_request(const wire::PreemptionRequest& request);
 
-    /// Addresses that other controllers know, for announcing a new term.
+    /// Stores the machine addresses in a peer's heartbeat, which are used to announce a new term.
     void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
-    /// Addresses from the cloud's list, likewise.
+    /// Stores the machine addresses in the cloud's machine list, which are used to announce a new term.
     void on_machines_discovered(const wire::MachinesDiscoveredNotification& notification);
-    /// This node leads the shard from now on.
+    /// Called when this node becomes the shard's leader. Announces the new term to the shard's machines.
     void on_leadership_acquired(std::uint32_t shard);
 
-    /// The tasks placed on a machine changed.
+    /// Called when the tasks placed on a machine change. Discards the machine's cached free capacity.
     void on_placement_changed(const MachineId& id) { capacity_.invalidate(id); }
-    /// A job came or went.
+    /// Called when a job is added to or removed from the state cache. Recomputes the free capacity that
+    /// depends on unknown jobs.
     void on_jobs_changed() { capacity_.on_jobs_changed(); }
-    /// Stops what runs of a cancelled job on our machines, without waiting for their next heartbeats.
+    /// Sends stop commands for a cancelled job's tasks on machines of this node's shards, without waiting for
+    /// the machines' next heartbeats.
     void on_job_cancelled(const JobId& id) { sender_.stop_job(id); }
 
-    /// Our machines, for the heartbeat to the other controllers.
+    /// Returns the status of every machine in this node's shards, for the heartbeat to the other controllers.
     [[nodiscard]] std::vector<wire::MachineStatus> machine_statuses() { return reporter_.statuses(); }
-    /// Counters for the status, since the process began.
+    /// Counters for the status page, since the process began.
     struct Counts {
         std::uint64_t heartbeats = 0, stale_heartbeats = 0, leases_not_renewed = 0, placement_requests = 0,
                       offers = 0, capacity_computations = 0, heartbeat_requests = 0;
     };
     [[nodiscard]] Counts counts() const;
-    [[nodiscard]] const StartTimes& start_times() const { return starts_.times(); }
+    [[nodiscard]] const StartTimes& start_times() const { return start_tracker_.times(); }
 
   private:
-    static constexpr Duration sweep_interval = std::chrono::milliseconds(500);
-    void sweep();
+    static constexpr Duration periodic_work_interval = std::chrono::milliseconds(500);
+    void run_periodic_work();
     void on_machine_removed(const MachineId& id) override;
     Env& env_;
     StateCache& state_cache_;
@@ -91,15 +95,15 @@
     MachineRegistry registry_;
     CapacityTracker capacity_;
     MachineCordons cordons_;
-    ReservedMachines reserved_;
-    StartTracker starts_;
+    ReservedMachines reserved_machines_;
+    StartTracker start_tracker_;
     MachineAvailability availability_;
     CapacityNotifier notifier_;
     CommandSender sender_;
     LeadershipAnnouncer announcer_;
     TaskReconciler reconciler_;
     LeaseMonitor lease_monitor_;
-    HeartbeatHandler heartbeats_;
+    HeartbeatHandler heartbeat_handler_;
     PlacementScorer scorer_;
     MachineStatusReporter reporter_;
 };
