--- a/src/workers/command_sender.h
+++ b/src/workers/command_sender.h
@@ -33,8 +33,8 @@
     /// Commands a task attempt to stop in favor of a job of higher rank, with time to save a checkpoint.
     void on_preemption_request(const wire::PreemptionRequest& request);
     /// Requests a heartbeat from a machine for which a start was committed, unless the next regular heartbeat
-    /// is close. The request carries no commands, only a higher fencing token; the start command is sent
-    /// in the heartbeat's response. A lost, repeated or late request is harmless.
+    /// is close. The request carries no commands, only a higher fencing token; the start command is sent in
+    /// the heartbeat's response. A lost, repeated or late request is harmless.
     void request_heartbeat(const MachineId& id);
 
     /// Whether the attempt was commanded to stop for a job of higher rank.
