--- a/src/app/node.h
+++ b/src/app/node.h
@@ -50,7 +50,7 @@
     void on_placement_changed(const MachineId& id) override { workers_.on_placement_changed(id); }
     void on_pages_resized(const JobId& id) override { committer_.on_pages_resized(id); }
     void on_job_cancelled(const JobId& id) override { workers_.on_job_cancelled(id); }
-    void on_jobs_changed() override { workers_.on_jobs_changed(); }
+    void on_job_set_changed() override { workers_.on_jobs_changed(); }
     void on_membership_changed() override { cluster_.on_membership_changed(); }
     void on_leadership_acquired(std::uint32_t shard) override { workers_.on_leadership_acquired(shard); }
     void on_state_read(SteadyTime sent) override { cancellation_watermark_.on_state_read(sent); }
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -15,7 +15,7 @@
 Json format_state(const StateCache& state_cache, const FormatLevel& format_level) {
     Json waiting_for = Json::array();
     for (const auto& node : format_level.waiting_for()) waiting_for.push_back(node.value());
-    return {{"level", state_cache.format_level()},
+    return {{"level", state_cache.fleet_format_level()},
             {"known", FormatLevel::highest_known},
             {"waiting_for", std::move(waiting_for)}};
 }
@@ -35,8 +35,8 @@
             {"writes", counts.writes},
             {"watches", counts.watches},
             {"watch_bytes", counts.watch_bytes},
-            {"rate_limited", counts.refused},
-            {"load_shed", counts.shed}};
+            {"rate_limited", counts.rate_limited},
+            {"load_shed", counts.load_shed}};
 }
 
 Json worker_counts(const WorkerManager& workers) {
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -242,7 +242,7 @@
 double ClassReservations::held_image_share(const MachineId& id, const wire::MachineType& type,
                                            const std::map<std::string, double>& image_shares) const {
     double held = 0;
-    state_cache_.each_image(id, type.cache_gb, [&](const std::string& image) {
+    state_cache_.for_each_image(id, type.cache_gb, [&](const std::string& image) {
         if (auto share = image_shares.find(image); share != image_shares.end()) held += share->second;
     });
     return held;
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -23,9 +23,9 @@
 
 void CloudClient::pump() {
     while (!queue_.empty()) {
-        if (!bucket_.has(env_.now(), 1)) {
+        if (!bucket_.refill_and_check(env_.now(), 1)) {
             if (timer_ == 0)
-                timer_ = env_.after(bucket_.until(1), [this] {
+                timer_ = env_.after(bucket_.time_until(1), [this] {
                     timer_ = 0;
                     pump();
                 });
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -128,13 +128,13 @@
                    built.transaction.writes.size());
         return queue_.schedule(key, delay);
     }
-    const bool names_failed = result.outcome == Outcome::conflict && !result.failed.empty();
-    refresh(key, names_failed ? result.failed : condition_keys(built.transaction));
+    const bool names_failed = result.outcome == Outcome::conflict && !result.failed_keys.empty();
+    refresh(key, names_failed ? result.failed_keys : condition_keys(built.transaction));
 }
 
 // Ends that came along with starts go back to where they need no lock.
 void CommitExecutor::put_back(BuiltTransaction& built, const CommitResult& result, Duration delay) {
-    const std::set<std::string> failed(result.failed.begin(), result.failed.end());
+    const std::set<std::string> failed(result.failed_keys.begin(), result.failed_keys.end());
     for (auto& [page, operations] : built.operations)
         for (auto& operation : operations) {
             const bool is_term_over = failed.contains(keys::shard(state_cache_.shard_of(operation.machine)));
--- a/src/jobs/commit_queue.cpp
+++ b/src/jobs/commit_queue.cpp
@@ -70,7 +70,7 @@
     if (operation.kind == OperationKind::release || job == nullptr) return release_delay;
     const auto known = job->pages.find(page.page);
     const std::size_t done = known != job->pages.end() ? known->second.done : 0;
-    if (done + waiting + 1 >= state_cache_.tasks_in(*job, page.page)) return release_delay;
+    if (done + waiting + 1 >= state_cache_.task_count_in_page(*job, page.page)) return release_delay;
     return completion_delay(*job);
 }
 
--- a/src/jobs/job_record_writer.cpp
+++ b/src/jobs/job_record_writer.cpp
@@ -27,7 +27,7 @@
     transaction.conditions.push_back({keys::job(id), job->version});
     transaction.writes.push_back({keys::job(id), std::nullopt, std::nullopt});
     transaction.writes.push_back({keys::final_state(id), final_record(*job), std::nullopt});
-    for (const auto& key : state_cache_.written_pages(*job)) {
+    for (const auto& key : state_cache_.written_page_keys(*job)) {
         // The rest are deleted later, as orphaned pages.
         if (transaction.writes.size() == settings_.strictest_limits.txn_ops) break;
         transaction.writes.push_back({key, std::nullopt, std::nullopt});
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -209,13 +209,13 @@
     const std::size_t max_tasks = is_gang ? job.spec.tasks : max_tasks_per_request;
     const std::size_t requested_before = is_gang ? 0 : waiting.requested.size();
     std::vector<TaskIndex> tasks;
-    for (std::uint32_t number = 0; number < state_cache_.pages_of(job) && tasks.size() < max_tasks;
+    for (std::uint32_t number = 0; number < state_cache_.page_count(job) && tasks.size() < max_tasks;
          ++number) {
         const auto found = job.pages.find(number);
         const Page* page = found != job.pages.end() ? &found->second : nullptr;
         if (page != nullptr && page->placed + page->done == page->tasks.size()) continue;
         const TaskIndex first = number * state_cache_.page_size(job),
-                        size = state_cache_.tasks_in(job, number);
+                        size = state_cache_.task_count_in_page(job, number);
         for (TaskIndex i = 0; i < size && tasks.size() < max_tasks; ++i) {
             const TaskState& state = page != nullptr ? page->tasks[i] : never_started;
             if (!is_due(job, waiting, first + i, state)) continue;
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -21,7 +21,7 @@
 std::size_t max_conditions_of_page(const Job* job) {
     if (job == nullptr) return 0;
     const std::size_t own = 2 + (job->small_page_size != 0 ? max_frozen_pages_of_page : 0);
-    return job->spec.one_zone ? std::max(own, 1 + StateCache::most_free_pages) : own;
+    return job->spec.one_zone ? std::max(own, 1 + StateCache::max_pages_for_zone_change) : own;
 }
 }  // namespace
 
@@ -113,7 +113,7 @@
 bool TransactionBuilder::fits_record(std::size_t tasks, std::size_t bytes) const {
     if (tasks <= state_cache_.safe_page_size()) return true;
     const bool keep_to_strictest =
-        state_cache_.format_level() >= FormatLevel::small_pages || context_.store_rejected_value;
+        state_cache_.fleet_format_level() >= FormatLevel::small_pages || context_.store_rejected_value;
     const StateLimits& limits = keep_to_strictest ? settings_.strictest_limits : settings_.state_limits;
     return bytes <= limits.value_bytes();
 }
@@ -141,7 +141,7 @@
 // The page's record would be too large. Ends make it shorter, and starts wait for smaller pages; where there
 // are none, the starts go elsewhere.
 void TransactionBuilder::postpone_or_give_up(const PageKey& page, const Job& job, AppliedPage overflowing) {
-    const bool may_resize = state_cache_.format_level() >= FormatLevel::small_pages &&
+    const bool may_resize = state_cache_.fleet_format_level() >= FormatLevel::small_pages &&
                             state_cache_.safe_page_size() < state_cache_.page_size(job);
     if (may_resize) built_.notices.emplace_back(PageResizeNeeded{page.job});
     for (auto& operation : overflowing.applied) {
@@ -168,7 +168,7 @@
     if (chosen == commitments_.zones.end() || chosen->second == job.assigned_zone ||
         !jobs_given_zones_.insert(job.spec.id).second)
         return;
-    for (std::uint32_t page = 0; page < state_cache_.pages_of(job); ++page)
+    for (std::uint32_t page = 0; page < state_cache_.page_count(job); ++page)
         for (const auto& condition : state_cache_.page_conditions(job, page)) add_condition(condition);
     Job bound = job;
     bound.assigned_zone = chosen->second;
@@ -184,10 +184,10 @@
     add_zone_choice(job);
     auto& writes = built_.transaction.writes;
     const std::size_t max_writes = settings_.strictest_limits.txn_ops;
-    const bool is_over =
-        state_cache_.pages_of(job) == 1 && std::all_of(tasks.begin(), tasks.end(), [](const TaskState& task) {
-            return task.status == TaskState::Status::done;
-        });
+    const bool is_over = state_cache_.page_count(job) == 1 &&
+                         std::all_of(tasks.begin(), tasks.end(), [](const TaskState& task) {
+                             return task.status == TaskState::Status::done;
+                         });
     if (!is_over || job.cancelled || writes.size() + writes_of_job_end > max_writes) {
         writes.push_back({page_key, std::move(record), std::nullopt});
         return;
--- a/src/store/cancelled_jobs.h
+++ b/src/store/cancelled_jobs.h
@@ -17,7 +17,7 @@
     [[nodiscard]] bool contains(const JobId& id) const { return ids_.contains(id); }
     /// Once there are many, forgets those for which `exists` is false.
     template <class Exists>
-    void drop_unknown(Exists exists) {
+    void prune_missing(Exists exists) {
         if (ids_.size() > max_cancelled_jobs)
             std::erase_if(ids_, [&](const JobId& id) { return !exists(id); });
     }
--- a/src/store/frozen_pages.cpp
+++ b/src/store/frozen_pages.cpp
@@ -7,15 +7,15 @@
 
 std::vector<TaskState> tasks_in_frozen_pages(const Job& job, const PageLayout& layout,
                                              std::uint32_t small_page) {
-    std::vector<TaskState> tasks(layout.tasks_in(small_page));
-    const TaskIndex first = layout.first_task(small_page);
-    const TaskIndex end = first + layout.tasks_in(small_page);
+    std::vector<TaskState> tasks(layout.task_count_in_page(small_page));
+    const TaskIndex first = layout.first_task_in_page(small_page);
+    const TaskIndex end = first + layout.task_count_in_page(small_page);
     const PageRange range = layout.frozen_pages_of(small_page);
     for (std::uint32_t number = range.first; number < range.end; ++number) {
         const auto frozen = job.frozen_pages.find(number);
         if (frozen == job.frozen_pages.end()) continue;
-        const TaskIndex frozen_first = layout.first_task_of_standard(number);
-        const TaskIndex frozen_end = frozen_first + layout.tasks_in_standard(number);
+        const TaskIndex frozen_first = layout.first_task_in_standard_page(number);
+        const TaskIndex frozen_end = frozen_first + layout.task_count_in_standard_page(number);
         for (TaskIndex index = std::max(first, frozen_first); index < std::min(end, frozen_end); ++index)
             tasks[index - first] = frozen->second.tasks.at(index - frozen_first);
     }
@@ -29,7 +29,7 @@
     for (std::uint32_t number = 0; number < layout.page_count(); ++number) {
         Page page;
         page.tasks = tasks_in_frozen_pages(job, layout, number);
-        page.count();
+        page.update_counts();
         job.pages[number] = std::move(page);
     }
 }
--- a/src/store/job.cpp
+++ b/src/store/job.cpp
@@ -4,7 +4,7 @@
 
 namespace zincdyke {
 
-void Page::count() {
+void Page::update_counts() {
     const auto count_of = [&](TaskState::Status status) {
         return static_cast<TaskIndex>(std::count_if(
             tasks.begin(), tasks.end(), [&](const TaskState& task) { return task.status == status; }));
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -36,7 +36,7 @@
     /// How many of `tasks` are placed and done.
     TaskIndex placed = 0, done = 0;
     /// Sets the two from `tasks`.
-    void count();
+    void update_counts();
 };
 
 /// One unfinished job. How its tasks are divided into pages: `PageLayout`.
--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view node_prefix = "z/n/";
 constexpr std::string_view shard_prefix = "z/p/";
 constexpr std::string_view team_lock_prefix = "z/q/";
-constexpr std::string_view known_format_prefix = "z/v/";
+constexpr std::string_view supported_format_level_prefix = "z/v/";
 constexpr std::array<Prefix, 8> prefixes{{
     {job_prefix, Kind::job},
     {standard_page_prefix, Kind::standard_page},
@@ -26,7 +26,7 @@
     {node_prefix, Kind::node},
     {shard_prefix, Kind::shard},
     {team_lock_prefix, Kind::team_lock},
-    {known_format_prefix, Kind::known_format},
+    {supported_format_level_prefix, Kind::supported_format_level},
 }};
 
 std::string join(std::string_view prefix, const std::string& name) { return std::string(prefix) + name; }
@@ -63,12 +63,14 @@
 std::string node(const NodeName& name) { return join(node_prefix, name.value()); }
 std::string shard(std::uint32_t number) { return join(shard_prefix, std::to_string(number)); }
 std::string team_lock(const TeamName& name) { return join(team_lock_prefix, name.value()); }
-std::string known_format(const NodeName& name) { return join(known_format_prefix, name.value()); }
+std::string supported_format_level(const NodeName& name) {
+    return join(supported_format_level_prefix, name.value());
+}
 
 ParsedKey parse(std::string_view key) {
     if (key == autoscaler_leader) return {Kind::autoscaler, {}, std::nullopt};
     if (key == machine_types) return {Kind::machine_type_list, {}, std::nullopt};
-    if (key == format_level) return {Kind::fleet_format, {}, std::nullopt};
+    if (key == fleet_format_level) return {Kind::fleet_format_level, {}, std::nullopt};
     for (const auto& [prefix, kind] : prefixes) {
         if (!key.starts_with(prefix)) continue;
         const std::string_view rest = key.substr(prefix.size());
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -17,7 +17,7 @@
 /// The cloud's machine types, as last listed.
 inline const std::string machine_types = "z/f";
 /// The format level that the fleet writes.
-inline const std::string format_level = "z/l";
+inline const std::string fleet_format_level = "z/l";
 
 /// An accepted job that has not ended.
 [[nodiscard]] std::string job(const JobId& id);
@@ -34,7 +34,7 @@
 /// The holder of the lock on a limited team's starts.
 [[nodiscard]] std::string team_lock(const TeamName& name);
 /// The format level that a controller's version of the program understands.
-[[nodiscard]] std::string known_format(const NodeName& name);
+[[nodiscard]] std::string supported_format_level(const NodeName& name);
 
 /// What a key names.
 enum class Kind : std::uint8_t {
@@ -46,8 +46,8 @@
     node,
     shard,
     team_lock,
-    known_format,
-    fleet_format,
+    supported_format_level,
+    fleet_format_level,
     autoscaler,
     machine_type_list,
 };
--- a/src/store/membership_index.h
+++ b/src/store/membership_index.h
@@ -21,9 +21,9 @@
     explicit MembershipIndex(std::uint32_t shard_count) : shards_(shard_count) {}
 
     /// A controller's session was opened or written again at `version`.
-    void set_live(const NodeName& node, Revision version) { live_nodes_[node] = version; }
+    void set_live_node(const NodeName& node, Revision version) { live_nodes_[node] = version; }
     /// A controller's session ended.
-    void set_gone(const NodeName& node) { live_nodes_.erase(node); }
+    void remove_live_node(const NodeName& node) { live_nodes_.erase(node); }
     /// Ignores numbers of shards that there are not.
     void set_shard(std::uint32_t number, Shard shard);
     /// Empty: there is none.
--- a/src/store/page_layout.cpp
+++ b/src/store/page_layout.cpp
@@ -23,25 +23,25 @@
 
 std::uint32_t PageLayout::page_count() const { return divide_up(task_count_, page_size()); }
 
-TaskIndex PageLayout::tasks_in(std::uint32_t page) const {
-    return std::min(page_size(), task_count_ - first_task(page));
+TaskIndex PageLayout::task_count_in_page(std::uint32_t page) const {
+    return std::min(page_size(), task_count_ - first_task_in_page(page));
 }
 
 std::uint32_t PageLayout::standard_page_count() const { return divide_up(task_count_, standard_size_); }
 
-TaskIndex PageLayout::tasks_in_standard(std::uint32_t page) const {
-    return std::min(standard_size_, task_count_ - first_task_of_standard(page));
+TaskIndex PageLayout::task_count_in_standard_page(std::uint32_t page) const {
+    return std::min(standard_size_, task_count_ - first_task_in_standard_page(page));
 }
 
 PageRange PageLayout::frozen_pages_of(std::uint32_t small_page) const {
-    const TaskIndex first = first_task(small_page);
-    const TaskIndex last = first + tasks_in(small_page) - 1;
+    const TaskIndex first = first_task_in_page(small_page);
+    const TaskIndex last = first + task_count_in_page(small_page) - 1;
     return {first / standard_size_, last / standard_size_ + 1};
 }
 
 PageRange PageLayout::small_pages_of(std::uint32_t frozen_page) const {
-    const TaskIndex first = first_task_of_standard(frozen_page);
-    return {page_of(first), divide_up(first + tasks_in_standard(frozen_page), page_size())};
+    const TaskIndex first = first_task_in_standard_page(frozen_page);
+    return {page_of(first), divide_up(first + task_count_in_standard_page(frozen_page), page_size())};
 }
 
 std::string page_key(const Job& job, std::uint32_t page) {
--- a/src/store/page_layout.h
+++ b/src/store/page_layout.h
@@ -40,14 +40,16 @@
     [[nodiscard]] std::uint32_t page_of(TaskIndex task) const { return task / page_size(); }
     /// Where in its page a task stands.
     [[nodiscard]] std::uint32_t position_in_page(TaskIndex task) const { return task % page_size(); }
-    [[nodiscard]] TaskIndex first_task(std::uint32_t page) const { return page * page_size(); }
+    [[nodiscard]] TaskIndex first_task_in_page(std::uint32_t page) const { return page * page_size(); }
     /// How many tasks an existing page has.
-    [[nodiscard]] TaskIndex tasks_in(std::uint32_t page) const;
+    [[nodiscard]] TaskIndex task_count_in_page(std::uint32_t page) const;
 
     /// The same of pages of the standard size, whether frozen or not.
     [[nodiscard]] std::uint32_t standard_page_count() const;
-    [[nodiscard]] TaskIndex first_task_of_standard(std::uint32_t page) const { return page * standard_size_; }
-    [[nodiscard]] TaskIndex tasks_in_standard(std::uint32_t page) const;
+    [[nodiscard]] TaskIndex first_task_in_standard_page(std::uint32_t page) const {
+        return page * standard_size_;
+    }
+    [[nodiscard]] TaskIndex task_count_in_standard_page(std::uint32_t page) const;
 
     /// The frozen pages that hold the tasks of a small page.
     [[nodiscard]] PageRange frozen_pages_of(std::uint32_t small_page) const;
--- a/src/store/record_versions.cpp
+++ b/src/store/record_versions.cpp
@@ -5,7 +5,7 @@
 constexpr std::size_t max_versions_kept = 4096;
 }
 
-bool RecordVersions::advance(const KeyUpdate& update) {
+bool RecordVersions::update_if_newer(const KeyUpdate& update) {
     const auto known = versions_.find(update.key);
     if (known != versions_.end() && update.version <= known->second.version) return false;
     versions_[update.key] = {update.version, update.value.has_value()};
--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -15,7 +15,7 @@
   public:
     /// Takes over an update's version. False if it is no newer than what is known: the update is to be
     /// ignored. The watch trails behind this node's own commits, and lists may be older than either.
-    [[nodiscard]] bool advance(const KeyUpdate& update);
+    [[nodiscard]] bool update_if_newer(const KeyUpdate& update);
     /// 0 for a key that does not exist, as far as read.
     [[nodiscard]] Revision version(const std::string& key) const;
     [[nodiscard]] bool exists(const std::string& key) const { return version(key) != Revision{}; }
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -180,7 +180,7 @@
 
 Json encode_final_state(const FinalState& state) {
     if (!state.is_done) return {{"s", "withdrawn"}};
-    return {{"s", "done"}, {"n", state.tasks}};
+    return {{"s", "done"}, {"n", state.done_tasks}};
 }
 
 FinalState decode_final_state(const Json& record) {
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -19,8 +19,8 @@
 /// | | `n` | how many tasks are done; absent: 0 |
 /// | `node` | | `{}`: the record says only that the session is live |
 /// | `machine_types` | | the cloud's list of machine types (`wire::types_to_json`) |
-/// | `known_format`, `format_level` | `format` | the format level that a controller understands, or the fleet
-/// writes |
+/// | `supported_format_level`, `fleet_format_level` | `format` | the format level that a controller
+/// understands, or the fleet writes |
 ///
 /// A field of a page that would be empty is left out; a page without any is `{}`: all its tasks are pending.
 #pragma once
@@ -72,8 +72,8 @@
 
 /// How a job ended.
 struct FinalState {
-    bool is_done = false;    ///< else it was cancelled
-    std::int64_t tasks = 0;  ///< how many are done; 0 for a cancelled job
+    bool is_done = false;         ///< else it was cancelled
+    std::int64_t done_tasks = 0;  ///< how many are done; 0 for a cancelled job
 };
 [[nodiscard]] Json encode_final_state(const FinalState& state);
 /// Anything but `done` counts as cancelled. Throws `Json::exception` if it is no object.
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -27,12 +27,13 @@
 }
 
 std::optional<Duration> RequestBudget::take_or_wait(SteadyTime now, RequestPriority priority, double writes) {
-    const bool from_user_reads = priority == RequestPriority::user && writes == 0 && user_reads_.has(now, 1);
-    const bool has_request = from_user_reads || requests_.has(now, 1);
-    const bool has_writes = writes == 0 || writes_.has(now, writes);
+    const bool from_user_reads =
+        priority == RequestPriority::user && writes == 0 && user_reads_.refill_and_check(now, 1);
+    const bool has_request = from_user_reads || requests_.refill_and_check(now, 1);
+    const bool has_writes = writes == 0 || writes_.refill_and_check(now, writes);
     if (!has_request || !has_writes)
-        return std::max(has_request ? Duration(0) : requests_.until(1),
-                        has_writes ? Duration(0) : writes_.until(writes));
+        return std::max(has_request ? Duration(0) : requests_.time_until(1),
+                        has_writes ? Duration(0) : writes_.time_until(writes));
     (from_user_reads ? user_reads_ : requests_).take(1);
     if (writes > 0) {
         writes_.take(writes);
@@ -41,7 +42,7 @@
     return std::nullopt;
 }
 
-void RequestBudget::take_regardless(SteadyTime now) {
+void RequestBudget::take_unconditionally(SteadyTime now) {
     requests_.refill(now);
     requests_.take(1);
 }
@@ -50,12 +51,15 @@
 
 std::size_t RequestBudget::available_writes(SteadyTime now) {
     // A bucket too small for both still lets one commit of two writes go when it is full.
-    if (!writes_.has(now, min_available_writes + reserved_writes) || !requests_.has(now, 1)) return 0;
+    if (!writes_.refill_and_check(now, min_available_writes + reserved_writes) ||
+        !requests_.refill_and_check(now, 1))
+        return 0;
     return static_cast<std::size_t>(std::max(min_available_writes, writes_.tokens() - reserved_writes));
 }
 
 Duration RequestBudget::time_until_writes(std::size_t count) const {
-    return std::max(writes_.until(static_cast<double>(count) + reserved_writes), requests_.until(1));
+    return std::max(writes_.time_until(static_cast<double>(count) + reserved_writes),
+                    requests_.time_until(1));
 }
 
 double RequestBudget::write_load(SteadyTime now) {
--- a/src/store/request_budget.h
+++ b/src/store/request_budget.h
@@ -28,7 +28,7 @@
     [[nodiscard]] std::optional<Duration> take_or_wait(SteadyTime now, RequestPriority priority,
                                                        double writes);
     /// Takes one request that goes out whether the budget allows it or not.
-    void take_regardless(SteadyTime now);
+    void take_unconditionally(SteadyTime now);
     /// The store has refused a request with so many writes for its rate: what was saved up is gone.
     void drain(double writes);
 
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -15,12 +15,12 @@
 constexpr std::size_t index_of(RequestPriority priority) { return static_cast<std::size_t>(priority); }
 }  // namespace
 
-void StoreReachability::note_answered() {
+void StoreReachability::record_success() {
     if (!is_reachable()) log::info("event=store_reachable");
     failures_ = 0;
 }
 
-void StoreReachability::note_unanswered(SteadyTime now, int status) {
+void StoreReachability::record_failure(SteadyTime now, int status) {
     if (++failures_ != max_failures) return;
     unreachable_since_ = now;
     log::warn("event=store_unreachable status={}", status);
@@ -45,7 +45,7 @@
 }
 
 void RequestQueue::shed(Reply done, HttpResponse response) {
-    ++counts_.shed;
+    ++counts_.load_shed;
     env_.after(Duration(0), [done = std::move(done), response = std::move(response)] { done(response); });
 }
 
@@ -94,16 +94,16 @@
 
 void RequestQueue::on_response(double writes, const HttpResponse& response) {
     if (store_protocol::is_unavailable(response))
-        reachability_.note_unanswered(env_.now(), response.status);
+        reachability_.record_failure(env_.now(), response.status);
     else
-        reachability_.note_answered();
+        reachability_.record_success();
     if (!store_protocol::is_rate_limited(response)) return;
-    ++counts_.refused;
+    ++counts_.rate_limited;
     budget_.drain(writes);
 }
 
 void RequestQueue::send_watch(HttpRequest http, Duration timeout, Reply done) {
-    budget_.take_regardless(env_.now());
+    budget_.take_unconditionally(env_.now());
     ++counts_.watches;
     env_.http(settings_.state, std::move(http), timeout,
               [this, done = std::move(done)](HttpResponse response) {
--- a/src/store/request_queue.h
+++ b/src/store/request_queue.h
@@ -16,8 +16,8 @@
 class StoreReachability {
   public:
     /// What came of a request.
-    void note_answered();
-    void note_unanswered(SteadyTime now, int status);
+    void record_success();
+    void record_failure(SteadyTime now, int status);
     [[nodiscard]] bool is_reachable() const { return failures_ < max_failures; }
     /// For how long it has been out of reach.
     [[nodiscard]] Duration unreachable_for(SteadyTime now) const;
@@ -47,8 +47,8 @@
     struct Counts {
         std::array<std::uint64_t, priority_count> requests{}, writes{};
         std::uint64_t watches = 0, watch_bytes = 0;
-        std::uint64_t refused = 0;  ///< by the store, for their rate (429)
-        std::uint64_t shed = 0;     ///< by this node, and not sent
+        std::uint64_t rate_limited = 0;  ///< by the store, for their rate (429)
+        std::uint64_t load_shed = 0;     ///< by this node, and not sent
     };
 
     /// Both must outlive the queue.
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -28,7 +28,7 @@
     orphaned_pages_.clear();
     format_levels_.clear();
     applied_revision = {};
-    observer_.on_jobs_changed();
+    observer_.on_job_set_changed();
 }
 
 const Job* StateCache::job(const JobId& id) const {
@@ -54,11 +54,11 @@
 
 std::optional<std::string> StateCache::required_zone(const Job& job) const {
     const bool is_free = job.spec.one_zone && !job.spec.zone && job.placed == 0 &&
-                         pages_named_for_zone(job) <= most_free_pages;
+                         zone_change_page_count(job) <= max_pages_for_zone_change;
     return is_free ? std::nullopt : job.assigned_zone;
 }
 
-std::size_t StateCache::pages_named_for_zone(const Job& job) const {
+std::size_t StateCache::zone_change_page_count(const Job& job) const {
     const PageLayout pages = layout(job);
     return pages.page_count() + (pages.has_small_pages() ? pages.standard_page_count() : 0);
 }
@@ -85,10 +85,11 @@
 
 std::vector<TaskState> StateCache::page_tasks(const Job& job, std::uint32_t page) const {
     const auto found = job.pages.find(page);
-    return found != job.pages.end() ? found->second.tasks : std::vector<TaskState>(tasks_in(job, page));
+    return found != job.pages.end() ? found->second.tasks
+                                    : std::vector<TaskState>(task_count_in_page(job, page));
 }
 
-std::vector<std::string> StateCache::written_pages(const Job& job) const {
+std::vector<std::string> StateCache::written_page_keys(const Job& job) const {
     std::vector<std::string> written;
     const auto add = [&](std::string key) {
         if (versions_.exists(key)) written.push_back(std::move(key));
@@ -103,7 +104,7 @@
 }
 
 void StateCache::apply(const KeyUpdate& item) {
-    if (!versions_.advance(item)) return;
+    if (!versions_.update_if_newer(item)) return;
     const keys::ParsedKey key = keys::parse(std::string_view(item.key));
     switch (key.kind) {
         case keys::Kind::job:
@@ -113,8 +114,8 @@
         case keys::Kind::small_page:
             apply_page(key, item);
             break;
-        case keys::Kind::known_format:
-        case keys::Kind::fleet_format:
+        case keys::Kind::supported_format_level:
+        case keys::Kind::fleet_format_level:
             apply_format(key, item);
             break;
         case keys::Kind::node:
@@ -140,9 +141,9 @@
 void StateCache::apply_membership(const keys::ParsedKey& key, const KeyUpdate& item) {
     if (key.kind == keys::Kind::node) {
         if (item.value)
-            membership_.set_live(key.node(), item.version);
+            membership_.set_live_node(key.node(), item.version);
         else
-            membership_.set_gone(key.node());
+            membership_.remove_live_node(key.node());
     } else if (key.kind == keys::Kind::shard) {
         if (item.value && key.number)
             membership_.set_shard(*key.number, {records::decode_shard_leader(*item.value), item.version});
@@ -157,10 +158,10 @@
     if (!item.value) return;
     const std::optional<std::uint32_t> level = records::decode_format_level(*item.value);
     if (!level) return;
-    if (key.kind == keys::Kind::fleet_format)
+    if (key.kind == keys::Kind::fleet_format_level)
         format_levels_.raise_fleet_level(*level);
     else
-        format_levels_.set_known(key.node(), *level);
+        format_levels_.set_supported_level(key.node(), *level);
     observer_.on_membership_changed();
 }
 
@@ -171,7 +172,7 @@
         log::error("event=invalid_record job={}", id.value());
         return;
     }
-    if (!jobs_.contains(id)) observer_.on_jobs_changed();
+    if (!jobs_.contains(id)) observer_.on_job_set_changed();
     Job& job = jobs_[id];
     const bool was_cancelled = job.cancelled;
     const bool is_resized = job.version != Revision{} && job.small_page_size != decoded->small_page_size;
@@ -200,15 +201,15 @@
     Job& job = found->second;
     for (auto& [number, page] : job.pages)
         set_page(job, number, std::vector<TaskState>(page.tasks.size()), page.version);
-    for (const auto& key : written_pages(job)) orphaned_pages_.add(key);
+    for (const auto& key : written_page_keys(job)) orphaned_pages_.add(key);
     jobs_.erase(found);
-    observer_.on_jobs_changed();
+    observer_.on_job_set_changed();
     observer_.on_job_changed(id);
 }
 
 void StateCache::mark_cancelled(const JobId& id) {
     if (!cancelled_jobs_.add(id)) return;
-    cancelled_jobs_.drop_unknown([&](const JobId& cancelled) { return jobs_.contains(cancelled); });
+    cancelled_jobs_.prune_missing([&](const JobId& cancelled) { return jobs_.contains(cancelled); });
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.cancelled) return;
     found->second.cancelled = true;
@@ -243,8 +244,8 @@
 void StateCache::apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& item) {
     const PageLayout pages = layout(job);
     if (page >= pages.standard_page_count()) return;
-    auto tasks = records::decode_page(*item.value, job, pages.first_task_of_standard(page),
-                                      pages.tasks_in_standard(page));
+    auto tasks = records::decode_page(*item.value, job, pages.first_task_in_standard_page(page),
+                                      pages.task_count_in_standard_page(page));
     if (!tasks) return;
     if (!pages.has_small_pages()) return set_page(job, page, std::move(*tasks), item.version);
     job.frozen_pages[page] = Page{item.version, std::move(*tasks)};
@@ -260,7 +261,8 @@
     // The record that tells the pages' size is still to come, and the watch brings this one again after it.
     if (!pages.has_small_pages()) return versions_.forget(item.key);
     if (page >= pages.page_count()) return;
-    auto tasks = records::decode_page(*item.value, job, pages.first_task(page), pages.tasks_in(page));
+    auto tasks = records::decode_page(*item.value, job, pages.first_task_in_page(page),
+                                      pages.task_count_in_page(page));
     if (tasks) set_page(job, page, std::move(*tasks), item.version);
 }
 
@@ -268,7 +270,7 @@
 void StateCache::set_page(Job& job, std::uint32_t number, std::vector<TaskState> tasks, Revision version) {
     static const TaskState none;
     Page& page = job.pages[number];
-    const TaskIndex first = layout(job).first_task(number);
+    const TaskIndex first = layout(job).first_task_in_page(number);
     for (std::size_t i = 0; i < std::max(page.tasks.size(), tasks.size()); ++i)
         move_task(job, first + static_cast<TaskIndex>(i), i < page.tasks.size() ? page.tasks[i] : none,
                   i < tasks.size() ? tasks[i] : none, version);
@@ -276,7 +278,7 @@
     const TaskIndex done_before = page.done;
     page.tasks = std::move(tasks);
     page.version = version;
-    page.count();
+    page.update_counts();
     job.placed += page.placed - placed_before;
     job.done += page.done - done_before;
     team_quotas_.add_placed(job.spec.team, job.spec.need,
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -77,9 +77,9 @@
     [[nodiscard]] std::optional<std::string> required_zone(const Job& job) const;
     /// A job with more pages than this (frozen ones included) keeps to the zone assigned at its acceptance:
     /// all pages are named in the preconditions of the commit that chooses another.
-    static constexpr std::size_t most_free_pages = 4;
+    static constexpr std::size_t max_pages_for_zone_change = 4;
     /// How many pages the preconditions of a commit that chooses a job's zone name.
-    [[nodiscard]] std::size_t pages_named_for_zone(const Job& job) const;
+    [[nodiscard]] std::size_t zone_change_page_count(const Job& job) const;
 
     // --- Pages ---
 
@@ -92,9 +92,9 @@
     [[nodiscard]] std::uint32_t page_of(const Job& job, TaskIndex task) const {
         return layout(job).page_of(task);
     }
-    [[nodiscard]] std::uint32_t pages_of(const Job& job) const { return layout(job).page_count(); }
-    [[nodiscard]] TaskIndex tasks_in(const Job& job, std::uint32_t page) const {
-        return layout(job).tasks_in(page);
+    [[nodiscard]] std::uint32_t page_count(const Job& job) const { return layout(job).page_count(); }
+    [[nodiscard]] TaskIndex task_count_in_page(const Job& job, std::uint32_t page) const {
+        return layout(job).task_count_in_page(page);
     }
     [[nodiscard]] static std::string page_key(const Job& job, std::uint32_t page) {
         return zincdyke::page_key(job, page);
@@ -105,7 +105,7 @@
     /// the frozen pages that still hold its tasks.
     [[nodiscard]] std::vector<Condition> page_conditions(const Job& job, std::uint32_t page) const;
     /// Keys of all of a job's pages that were written, the frozen ones too.
-    [[nodiscard]] std::vector<std::string> written_pages(const Job& job) const;
+    [[nodiscard]] std::vector<std::string> written_page_keys(const Job& job) const;
     /// A job's record. One that would be too large for the strictest limits names only the machine types that
     /// exist.
     [[nodiscard]] Json encode_job(const Job& job) const;
@@ -124,10 +124,10 @@
     [[nodiscard]] const NodeName& autoscaler_leader() const { return membership_.autoscaler_leader(); }
     [[nodiscard]] Revision autoscaler_leader_version() const { return version(keys::autoscaler_leader); }
     /// The format level that the fleet writes, as far as read; it never falls.
-    [[nodiscard]] std::uint32_t format_level() const { return format_levels_.fleet_level(); }
+    [[nodiscard]] std::uint32_t fleet_format_level() const { return format_levels_.fleet_level(); }
     /// The format level that each controller has registered to understand.
-    [[nodiscard]] const std::map<NodeName, std::uint32_t>& known_formats() const {
-        return format_levels_.known();
+    [[nodiscard]] const std::map<NodeName, std::uint32_t>& supported_format_levels() const {
+        return format_levels_.supported_levels();
     }
 
     // --- Teams ---
@@ -158,7 +158,7 @@
     }
     /// Calls `fn` with the name of each image that a machine's cache of `cache_gb` holds.
     template <class Fn>
-    void each_image(const MachineId& machine, double cache_gb, Fn fn) const {
+    void for_each_image(const MachineId& machine, double cache_gb, Fn fn) const {
         images_.for_each(machine, cache_gb, fn);
     }
 
--- a/src/store/state_observer.h
+++ b/src/store/state_observer.h
@@ -23,7 +23,7 @@
     /// A job became known to be cancelled. Comes after `on_job_changed`.
     virtual void on_job_cancelled(const JobId& id) = 0;
     /// A job is about to come, or went, or the cache was cleared. Comes before `on_job_changed`.
-    virtual void on_jobs_changed() = 0;
+    virtual void on_job_set_changed() = 0;
     /// Live nodes, shards, the autoscaler's leader or format levels changed.
     virtual void on_membership_changed() = 0;
 };
--- a/src/store/store_protocol.cpp
+++ b/src/store/store_protocol.cpp
@@ -69,7 +69,7 @@
 Json encode_write(const Write& write) {
     if (!write.value) return {{"delete", write.key}};
     Json entry = {{"set", write.key}, {"value", *write.value}};
-    if (write.grant) entry["tether"] = *write.grant;
+    if (write.lease_id) entry["tether"] = *write.lease_id;
     return entry;
 }
 
@@ -147,7 +147,7 @@
         if (result.revision == Revision{}) result.outcome = Outcome::unknown;
     } else if (answer.outcome == Outcome::conflict) {
         for (const auto& key : answer.body.value("failed", Json::array()))
-            if (key.is_string()) result.failed.push_back(key.get<std::string>());
+            if (key.is_string()) result.failed_keys.push_back(key.get<std::string>());
     }
     return result;
 }
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -49,7 +49,7 @@
     /// Nothing: delete.
     std::optional<Json> value;
     /// The store's lease whose end deletes the record.
-    std::optional<std::uint64_t> grant;
+    std::optional<std::uint64_t> lease_id;
 };
 /// Writes that are carried out together, or not at all unless every precondition holds (compare-and-swap).
 struct Transaction {
@@ -61,7 +61,7 @@
     /// Ok: the version of all records that were written.
     Revision revision;
     /// Conflict: the keys whose preconditions did not hold, as far as the store names them.
-    std::vector<std::string> failed;
+    std::vector<std::string> failed_keys;
 };
 // NOLINTNEXTLINE(bugprone-exception-escape): Json's move, which is noexcept, is taken to throw.
 struct GetResult {
--- a/src/store/token_bucket.cpp
+++ b/src/store/token_bucket.cpp
@@ -11,12 +11,12 @@
     last_refill_ = now;
 }
 
-bool TokenBucket::has(SteadyTime now, double amount) {
+bool TokenBucket::refill_and_check(SteadyTime now, double amount) {
     refill(now);
     return tokens_ >= std::min(amount, rate_) - rounding_error;
 }
 
-Duration TokenBucket::until(double amount) const {
+Duration TokenBucket::time_until(double amount) const {
     return std::max(min_wait, seconds((std::min(amount, rate_) - tokens_) / rate_));
 }
 
--- a/src/store/token_bucket.h
+++ b/src/store/token_bucket.h
@@ -7,8 +7,8 @@
 
 namespace zincdyke {
 
-/// Allows `rate` units a second, in bursts of one second's worth; full at first use. Refilled by `has`, whose
-/// moments must not go back.
+/// Allows `rate` units a second, in bursts of one second's worth; full at first use. Refilled by
+/// `refill_and_check`, whose moments must not go back.
 class TokenBucket {
   public:
     /// `per_s`: above 0. What has been saved up stays.
@@ -16,7 +16,7 @@
     [[nodiscard]] double rate() const { return rate_; }
     /// Refills the bucket, and tells whether `amount` may be taken now. A larger amount than the bucket holds
     /// may be taken when it is full, and leaves a debt.
-    [[nodiscard]] bool has(SteadyTime now, double amount);
+    [[nodiscard]] bool refill_and_check(SteadyTime now, double amount);
     /// Refills the bucket without asking for anything.
     void refill(SteadyTime now);
     /// Doesn't refill, and may leave a debt.
@@ -26,7 +26,7 @@
     /// Below 0: a debt.
     [[nodiscard]] double tokens() const { return tokens_; }
     /// How long after the last refill `amount` may be taken; at least 2 ms.
-    [[nodiscard]] Duration until(double amount) const;
+    [[nodiscard]] Duration time_until(double amount) const;
 
   private:
     double rate_ = 1, tokens_ = 0;
--- a/tests/fake_state_observer.h
+++ b/tests/fake_state_observer.h
@@ -11,7 +11,7 @@
     void on_placement_changed(const MachineId&) override {}
     void on_pages_resized(const JobId&) override {}
     void on_job_cancelled(const JobId&) override { ++cancelled_jobs; }
-    void on_jobs_changed() override {}
+    void on_job_set_changed() override {}
     void on_membership_changed() override {}
 
     int cancelled_jobs = 0;
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -25,8 +25,8 @@
         {keys::node(NodeName("n1")), Kind::node, "n1", {}},
         {keys::shard(4), Kind::shard, "", 4},
         {keys::team_lock(TeamName("blue")), Kind::team_lock, "blue", {}},
-        {keys::known_format(NodeName("n1")), Kind::known_format, "n1", {}},
-        {keys::format_level, Kind::fleet_format, "", {}},
+        {keys::supported_format_level(NodeName("n1")), Kind::supported_format_level, "n1", {}},
+        {keys::fleet_format_level, Kind::fleet_format_level, "", {}},
         {keys::autoscaler_leader, Kind::autoscaler, "", {}},
         {keys::machine_types, Kind::machine_type_list, "", {}},
     };
--- a/tests/page_layout_test.cpp
+++ b/tests/page_layout_test.cpp
@@ -28,9 +28,9 @@
     EXPECT_EQ(layout.page_of(193), 0U);
     EXPECT_EQ(layout.page_of(194), 1U);
     EXPECT_EQ(layout.position_in_page(195), 1U);
-    EXPECT_EQ(layout.first_task(1), 194U);
-    EXPECT_EQ(layout.tasks_in(0), 194U);
-    EXPECT_EQ(layout.tasks_in(1), 106U);
+    EXPECT_EQ(layout.first_task_in_page(1), 194U);
+    EXPECT_EQ(layout.task_count_in_page(0), 194U);
+    EXPECT_EQ(layout.task_count_in_page(1), 106U);
     EXPECT_EQ(layout.standard_page_count(), layout.page_count());
 }
 
@@ -38,9 +38,9 @@
     const PageLayout layout(300, 194, 41);
     EXPECT_TRUE(layout.has_small_pages());
     EXPECT_EQ(layout.page_count(), 8U);
-    EXPECT_EQ(layout.tasks_in(7), 13U);
+    EXPECT_EQ(layout.task_count_in_page(7), 13U);
     EXPECT_EQ(layout.standard_page_count(), 2U);
-    EXPECT_EQ(layout.tasks_in_standard(1), 106U);
+    EXPECT_EQ(layout.task_count_in_standard_page(1), 106U);
     // Tasks 164 to 204 are in both frozen pages.
     EXPECT_EQ(layout.frozen_pages_of(3).first, 0U);
     EXPECT_EQ(layout.frozen_pages_of(3).end, 1U);
@@ -62,7 +62,7 @@
         return TaskState{TaskState::Status::placed, 1, MachineId(machine), ""};
     };
     Page& page = job.pages[0];
-    page.tasks.resize(before.tasks_in(0));
+    page.tasks.resize(before.task_count_in_page(0));
     page.tasks[0] = placed("a");
     page.tasks[15] = placed("b");
     job.small_page_size = 6;
--- a/tests/request_budget_test.cpp
+++ b/tests/request_budget_test.cpp
@@ -13,23 +13,23 @@
 TEST(TokenBucket, RefillsUpToOneSecondsWorth) {
     TokenBucket bucket;
     bucket.set_rate(10);
-    EXPECT_TRUE(bucket.has(at(0), 10));
+    EXPECT_TRUE(bucket.refill_and_check(at(0), 10));
     bucket.take(10);
-    EXPECT_FALSE(bucket.has(at(0), 1));
-    EXPECT_EQ(bucket.until(1), millis(100));
-    EXPECT_TRUE(bucket.has(at(0.25), 1));
-    EXPECT_TRUE(bucket.has(at(60), 10));
+    EXPECT_FALSE(bucket.refill_and_check(at(0), 1));
+    EXPECT_EQ(bucket.time_until(1), millis(100));
+    EXPECT_TRUE(bucket.refill_and_check(at(0.25), 1));
+    EXPECT_TRUE(bucket.refill_and_check(at(60), 10));
     EXPECT_DOUBLE_EQ(bucket.tokens(), 10);
 }
 
 TEST(TokenBucket, LargeRequestLeavesADebt) {
     TokenBucket bucket;
     bucket.set_rate(2);
-    EXPECT_TRUE(bucket.has(at(0), 6));
+    EXPECT_TRUE(bucket.refill_and_check(at(0), 6));
     bucket.take(6);
     EXPECT_DOUBLE_EQ(bucket.tokens(), -4);
-    EXPECT_FALSE(bucket.has(at(2), 1));
-    EXPECT_TRUE(bucket.has(at(2.5), 1));
+    EXPECT_FALSE(bucket.refill_and_check(at(2), 1));
+    EXPECT_TRUE(bucket.refill_and_check(at(2.5), 1));
 }
 
 TEST(TokenBucket, DrainKeepsDebts) {
--- a/tests/state_indexes_test.cpp
+++ b/tests/state_indexes_test.cpp
@@ -21,15 +21,15 @@
 
 TEST(RecordVersions, OlderNewsDoesNotBringADeletedKeyBack) {
     RecordVersions versions;
-    EXPECT_TRUE(versions.advance(set("a", 3)));
-    EXPECT_FALSE(versions.advance(set("a", 3)));
+    EXPECT_TRUE(versions.update_if_newer(set("a", 3)));
+    EXPECT_FALSE(versions.update_if_newer(set("a", 3)));
     EXPECT_EQ(versions.version("a"), Revision{3});
-    EXPECT_TRUE(versions.advance(deleted("a", 5)));
+    EXPECT_TRUE(versions.update_if_newer(deleted("a", 5)));
     EXPECT_EQ(versions.version("a"), Revision{});
     EXPECT_FALSE(versions.exists("a"));
-    EXPECT_FALSE(versions.advance(set("a", 4)));
+    EXPECT_FALSE(versions.update_if_newer(set("a", 4)));
     versions.forget("a");
-    EXPECT_TRUE(versions.advance(set("a", 4)));
+    EXPECT_TRUE(versions.update_if_newer(set("a", 4)));
     EXPECT_TRUE(versions.exists("a"));
 }
 
@@ -37,12 +37,12 @@
 TEST(RecordVersions, DeletedKeysAreDropped) {
     RecordVersions versions;
     for (std::uint64_t i = 1; i <= 5000; ++i) {
-        EXPECT_TRUE(versions.advance(deleted("gone-" + std::to_string(i), i)));
-        EXPECT_TRUE(versions.advance(set("kept-" + std::to_string(i), i)));
+        EXPECT_TRUE(versions.update_if_newer(deleted("gone-" + std::to_string(i), i)));
+        EXPECT_TRUE(versions.update_if_newer(set("kept-" + std::to_string(i), i)));
     }
     versions.drop_deleted(Revision{4000});
-    EXPECT_TRUE(versions.advance(set("gone-3999", 1)));
-    EXPECT_FALSE(versions.advance(set("gone-4000", 1)));
+    EXPECT_TRUE(versions.update_if_newer(set("gone-3999", 1)));
+    EXPECT_FALSE(versions.update_if_newer(set("gone-4000", 1)));
     EXPECT_EQ(versions.version("kept-1"), Revision{1});
 }
 
@@ -101,8 +101,8 @@
     membership.set_shard(2, {NodeName("n2"), Term{8}});
     ASSERT_EQ(membership.shards().size(), 2U);
     EXPECT_EQ(membership.shards()[1].leader, NodeName("n1"));
-    membership.set_live(NodeName("n1"), Revision{3});
-    membership.set_gone(NodeName("n0"));
+    membership.set_live_node(NodeName("n1"), Revision{3});
+    membership.remove_live_node(NodeName("n0"));
     EXPECT_EQ(membership.live_nodes().size(), 1U);
     membership.clear();
     EXPECT_EQ(membership.shards().size(), 2U);
@@ -114,10 +114,10 @@
     FormatLevels levels;
     levels.raise_fleet_level(1);
     levels.raise_fleet_level(0);
-    levels.set_known(NodeName("n1"), 1);
+    levels.set_supported_level(NodeName("n1"), 1);
     levels.clear();
     EXPECT_EQ(levels.fleet_level(), 1U);
-    EXPECT_TRUE(levels.known().empty());
+    EXPECT_TRUE(levels.supported_levels().empty());
 }
 
 TEST(CancelledJobs, UnknownOnesAreDroppedOnceThereAreMany) {
@@ -126,10 +126,10 @@
     EXPECT_FALSE(cancelled.add(JobId("kept")));
     const auto exists = [](const JobId& id) { return id == JobId("kept"); };
     EXPECT_TRUE(cancelled.add(JobId("other")));
-    cancelled.drop_unknown(exists);
+    cancelled.prune_missing(exists);
     EXPECT_TRUE(cancelled.contains(JobId("other")));
     for (int i = 0; i < 20'000; ++i) cancelled.add(JobId(std::to_string(i)));
-    cancelled.drop_unknown(exists);
+    cancelled.prune_missing(exists);
     EXPECT_FALSE(cancelled.contains(JobId("other")));
     EXPECT_TRUE(cancelled.contains(JobId("kept")));
 }
--- a/tests/store_protocol_test.cpp
+++ b/tests/store_protocol_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(store_protocol::parse_commit(answer(200, R"({"epoch":7})")).revision, Revision{7});
     const CommitResult conflict = store_protocol::parse_commit(answer(409, R"({"failed":["z/j/a",5]})"));
     EXPECT_EQ(conflict.outcome, Outcome::conflict);
-    EXPECT_EQ(conflict.failed, std::vector<std::string>{"z/j/a"});
+    EXPECT_EQ(conflict.failed_keys, std::vector<std::string>{"z/j/a"});
 }
 
 TEST(StoreProtocol, Reads) {
--- a/tests/transaction_builder_test.cpp
+++ b/tests/transaction_builder_test.cpp
@@ -290,7 +290,7 @@
 
 TEST_F(LargePageTest, AsksForSmallerPagesFromTheFirstFormatLevelOn) {
     load();
-    cache_->apply({keys::format_level, Json{{"format", 1U}}, Revision{12}});
+    cache_->apply({keys::fleet_format_level, Json{{"format", 1U}}, Revision{12}});
     const BuiltTransaction built = build(many_starts());
     EXPECT_TRUE(built.operations.empty());
     EXPECT_TRUE(built.transaction.writes.empty());
--- a/tests/upgrade_faults_test.cpp
+++ b/tests/upgrade_faults_test.cpp
@@ -148,8 +148,8 @@
 
     bool all_at_new_level() {
         for (int i = 0; i < 3; ++i)
-            if (!deployment.is_running(i) ||
-                deployment.controller(i).state_cache().format_level() < zincdyke::FormatLevel::small_pages)
+            if (!deployment.is_running(i) || deployment.controller(i).state_cache().fleet_format_level() <
+                                                 zincdyke::FormatLevel::small_pages)
                 return false;
         return true;
     }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -54,7 +54,7 @@
 }
 
 std::uint32_t level_of(SimulatedDeployment& deployment, int node) {
-    return deployment.controller(node).state_cache().format_level();
+    return deployment.controller(node).state_cache().fleet_format_level();
 }
 
 bool reaches_level(SimulatedDeployment& deployment, std::uint32_t level, double most) {
