--- a/src/store/cancelled_jobs.h
+++ b/src/store/cancelled_jobs.h
@@ -1,4 +1,4 @@
-/// Jobs known to be cancelled, whichever way this node came to know it.
+/// The set of jobs that are known to be cancelled.
 #pragma once
 #include <set>
 
@@ -6,16 +6,17 @@
 
 namespace zincdyke {
 
-/// Outlasts older versions of a job's record: a peer's word that it told its user of the cancellation may be
-/// newer than a list read just now, so that this is not cleared before the state is read anew.
+/// Ids of cancelled jobs, learned from records of the key-value store or from peer heartbeats. The set is
+/// kept when the state cache is reloaded: a cancellation received from a peer may be newer than the job
+/// records that the reload reads.
 class CancelledJobs {
   public:
-    /// False if it was known.
+    /// Returns false if the job was already in the set.
     bool add(const JobId& id) { return ids_.insert(id).second; }
-    /// The job has ended.
     void remove(const JobId& id) { ids_.erase(id); }
     [[nodiscard]] bool contains(const JobId& id) const { return ids_.contains(id); }
-    /// Once there are many, forgets those for which `exists` is false.
+    /// Removes the jobs for which `exists` returns false, but only when the set has grown beyond its size
+    /// limit.
     template <class Exists>
     void prune_missing(Exists exists) {
         if (ids_.size() > max_cancelled_jobs)
--- a/src/store/format_levels.h
+++ b/src/store/format_levels.h
@@ -1,4 +1,5 @@
-/// Index: which record formats the fleet writes, and which each controller understands.
+/// Index of record format levels: the level that the fleet writes and the level that each controller
+/// supports.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -8,22 +9,26 @@
 
 namespace zincdyke {
 
-/// Format levels, as far as read (docs/design.md, "Upgrade").
+/// Record format levels as last read from the key-value store (docs/design.md, "Upgrade"). The fleet is the
+/// set of all controllers of the deployment.
 class FormatLevels {
   public:
+    /// Sets the fleet's level; ignores a lower level than the current one.
     void raise_fleet_level(std::uint32_t level) { fleet_level_ = std::max(fleet_level_, level); }
-    void set_supported_level(const NodeName& node, std::uint32_t level) { known_[node] = level; }
-    /// Before the state is read anew. The fleet's level never falls, and stays.
-    void clear() { known_.clear(); }
+    void set_supported_level(const NodeName& node, std::uint32_t level) { supported_levels_[node] = level; }
+    /// Removes the controllers' levels before a reload. Keeps the fleet's level, which never decreases.
+    void clear() { supported_levels_.clear(); }
 
-    /// What the fleet writes.
+    /// The format level of the records that all controllers write.
     [[nodiscard]] std::uint32_t fleet_level() const { return fleet_level_; }
-    /// What each controller has registered to understand.
-    [[nodiscard]] const std::map<NodeName, std::uint32_t>& supported_levels() const { return known_; }
+    /// The highest format level that each controller has registered as supported.
+    [[nodiscard]] const std::map<NodeName, std::uint32_t>& supported_levels() const {
+        return supported_levels_;
+    }
 
   private:
     std::uint32_t fleet_level_ = 0;
-    std::map<NodeName, std::uint32_t> known_;
+    std::map<NodeName, std::uint32_t> supported_levels_;
 };
 
 }  // namespace zincdyke
--- a/src/store/frozen_pages.cpp
+++ b/src/store/frozen_pages.cpp
@@ -10,8 +10,8 @@
     std::vector<TaskState> tasks(layout.task_count_in_page(small_page));
     const TaskIndex first = layout.first_task_in_page(small_page);
     const TaskIndex end = first + layout.task_count_in_page(small_page);
-    const PageRange range = layout.frozen_pages_of(small_page);
-    for (std::uint32_t number = range.first; number < range.end; ++number) {
+    const PageRange frozen_pages = layout.frozen_pages_of(small_page);
+    for (std::uint32_t number = frozen_pages.first; number < frozen_pages.end; ++number) {
         const auto frozen = job.frozen_pages.find(number);
         if (frozen == job.frozen_pages.end()) continue;
         const TaskIndex frozen_first = layout.first_task_in_standard_page(number);
--- a/src/store/frozen_pages.h
+++ b/src/store/frozen_pages.h
@@ -1,4 +1,4 @@
-/// What frozen pages say of a job's tasks, for the small pages that have not been written yet.
+/// Derives the contents of a job's small pages from its frozen pages.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -8,12 +8,13 @@
 
 namespace zincdyke {
 
-/// The tasks of a small page as the job's frozen pages show them; pending where no frozen page was written.
+/// Returns the tasks of a small page as recorded in the job's frozen pages. Tasks whose frozen page was never
+/// written are pending.
 [[nodiscard]] std::vector<TaskState> tasks_in_frozen_pages(const Job& job, const PageLayout& layout,
                                                            std::uint32_t small_page);
 
-/// Freezes the pages of a job whose record has just named a smaller page size, and gives it small pages that
-/// show the same. No task changes by it: only the pages in which they stand do.
+/// Moves a job's standard pages to its frozen pages after the job's record has named a smaller page size, and
+/// fills the small pages from them. No task changes its state. `layout` is the layout with small pages.
 void freeze_pages(Job& job, const PageLayout& layout);
 
 }  // namespace zincdyke
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -1,4 +1,4 @@
-/// An unfinished job and its tasks, as the key-value store holds them.
+/// An unfinished job and its tasks, as stored in the key-value store.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,53 +11,55 @@
 
 namespace zincdyke {
 
-/// Where one task stands.
+/// The placement state of one task.
 struct TaskState {
     enum class Status : std::uint8_t {
-        pending,  ///< not on a machine; also what a task is that no record names
-        placed,   ///< on `machine`, running or about to
-        done,     ///< ended, and not to run again
+        pending,  ///< not on a machine; the default for a task that no record mentions
+        placed,   ///< assigned to a machine: running or about to start
+        done,     ///< finished; never runs again
     };
     Status status = Status::pending;
-    /// Placed: the present attempt. Pending: the last that ended. Counted from 1; 0: none.
+    /// The current attempt of a placed task, or the last ended attempt of a pending task. Counted from 1; 0
+    /// if the task was never started.
     Attempt attempt = 0;
-    /// Where it is placed.
+    /// The machine of a placed task.
     MachineId machine;
-    /// The machine's zone, where the job asks to be spread over zones.
+    /// The zone of the task's machine; empty unless the job is to be spread over zones.
     std::string zone;
     bool operator==(const TaskState&) const = default;
 };
 
-/// A block of a job's tasks that is stored as one record.
+/// A block of consecutive tasks of a job, stored as one record.
 struct Page {
-    /// 0: not written yet.
+    /// Version of the page's record; 0 if the record was never written.
     Revision version;
     std::vector<TaskState> tasks;
-    /// How many of `tasks` are placed and done.
+    /// Number of placed and of done tasks in `tasks`.
     TaskIndex placed = 0, done = 0;
-    /// Sets the two from `tasks`.
+    /// Recomputes `placed` and `done` from `tasks`.
     void update_counts();
 };
 
-/// One unfinished job. How its tasks are divided into pages: `PageLayout`.
+/// An unfinished job with its pages of tasks. `PageLayout` defines which tasks a page contains.
 struct Job {
     wire::JobSpec spec;
-    /// Of the job's own record.
+    /// Version of the job's own record, which excludes its pages.
     Revision version;
-    /// Whether it is known to be cancelled, by its record or by a peer's word.
+    /// Whether the job is known to be cancelled, from its record or from a peer heartbeat.
     bool cancelled = false;
-    /// The controller that asks for placements of its tasks.
+    /// The controller that requests placements for the job's tasks.
     NodeName relay;
     WallTime submitted;
-    /// For one-zone jobs: where its tasks are, or are expected to go.
+    /// The zone in which a one-zone job's tasks run or are expected to run; `std::nullopt` for other jobs.
     std::optional<std::string> assigned_zone;
-    /// Tasks in a small page; 0: its pages are of the standard size.
+    /// Number of tasks per small page; 0 if the job's pages have the standard size.
     std::uint32_t small_page_size = 0;
-    /// By number: the pages that are written today, of the size that the job has.
+    /// Pages that receive the job's updates, by page number: small pages if `small_page_size` is set,
+    /// otherwise standard pages.
     std::map<std::uint32_t, Page> pages;
-    /// By number: pages of the standard size, where `pages` are small ones.
+    /// Standard pages from before the job switched to small pages, by page number; no longer written.
     std::map<std::uint32_t, Page> frozen_pages;
-    /// Tasks placed and done, over all `pages`.
+    /// Number of placed and of done tasks over all of `pages`.
     TaskIndex placed = 0, done = 0;
     [[nodiscard]] TaskIndex pending() const { return spec.tasks - placed - done; }
 };
--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -35,7 +35,7 @@
     return join(prefix, name) + "/" + std::to_string(number);
 }
 
-std::optional<std::uint32_t> number_in(std::string_view digits) {
+std::optional<std::uint32_t> parse_number(std::string_view digits) {
     std::uint32_t number = 0;
     const char* const end = digits.data() + digits.size();
     const auto result = std::from_chars(digits.data(), end, number);
@@ -43,11 +43,11 @@
     return number;
 }
 
-// `rest` is "JOB/NUMBER".
-ParsedKey parse_page(Kind kind, std::string_view rest) {
-    const auto slash = rest.rfind('/');
+// Parses the part of a page key after its prefix: "JOB/NUMBER".
+ParsedKey parse_page(Kind kind, std::string_view suffix) {
+    const auto slash = suffix.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return {kind, {}, std::nullopt};
-    return {kind, rest.substr(0, slash), number_in(rest.substr(slash + 1))};
+    return {kind, suffix.substr(0, slash), parse_number(suffix.substr(slash + 1))};
 }
 
 }  // namespace
@@ -73,10 +73,10 @@
     if (key == fleet_format_level) return {Kind::fleet_format_level, {}, std::nullopt};
     for (const auto& [prefix, kind] : prefixes) {
         if (!key.starts_with(prefix)) continue;
-        const std::string_view rest = key.substr(prefix.size());
-        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, rest);
-        if (kind == Kind::shard) return {kind, {}, number_in(rest)};
-        return {kind, rest, std::nullopt};
+        const std::string_view suffix = key.substr(prefix.size());
+        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, suffix);
+        if (kind == Kind::shard) return {kind, {}, parse_number(suffix)};
+        return {kind, suffix, std::nullopt};
     }
     return {};
 }
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -1,5 +1,5 @@
-/// Names of the records in the key-value store. Prefixes stand here alone: keys are made by the functions
-/// below and read back by `parse`.
+/// Keys of the records in the key-value store. All keys are built by the functions below and decoded by
+/// `parse`; no other file contains key prefixes.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,35 +10,35 @@
 
 namespace zincdyke::keys {
 
-/// What every record begins with that controllers follow by their watch; final states lie outside of it.
+/// Key prefix of the records that controllers watch. Final states of jobs have another prefix.
 inline constexpr std::string_view watched_prefix = "z/";
-/// The autoscaler's leader, tied to its session's lease.
+/// Key of the record that names the autoscaler's leader; deleted when the leader's session lease expires.
 inline const std::string autoscaler_leader = "z/s";
-/// The cloud's machine types, as last listed.
+/// Key of the record with the cloud's machine types, as last listed.
 inline const std::string machine_types = "z/f";
-/// The format level that the fleet writes.
+/// Key of the record with the format level that all controllers write.
 inline const std::string fleet_format_level = "z/l";
 
-/// An accepted job that has not ended.
+/// Returns the key of an accepted job that has not ended.
 [[nodiscard]] std::string job(const JobId& id);
-/// A page of a job's tasks, of the standard size.
+/// Returns the key of a standard-size page of a job's tasks.
 [[nodiscard]] std::string page(const JobId& id, std::uint32_t number);
-/// A page of a job whose record names a smaller page size.
+/// Returns the key of a page of a job whose record names a smaller page size.
 [[nodiscard]] std::string small_page(const JobId& id, std::uint32_t number);
-/// How a job ended.
+/// Returns the key of a job's final state.
 [[nodiscard]] std::string final_state(const JobId& id);
-/// A live controller, tied to its session's lease.
+/// Returns the key of a live controller's record, which is deleted when its session lease expires.
 [[nodiscard]] std::string node(const NodeName& name);
-/// The leader of a shard.
+/// Returns the key of the record that names a shard's leader.
 [[nodiscard]] std::string shard(std::uint32_t number);
-/// The holder of the lock on a limited team's starts.
+/// Returns the key of a team lock. Only the lock's holder commits task starts of a team with limits.
 [[nodiscard]] std::string team_lock(const TeamName& name);
-/// The format level that a controller's version of the program understands.
+/// Returns the key of the record with the highest format level that a controller supports.
 [[nodiscard]] std::string supported_format_level(const NodeName& name);
 
-/// What a key names.
+/// The kind of record that a key identifies.
 enum class Kind : std::uint8_t {
-    other,  ///< a key that this version of the program doesn't know
+    other,  ///< a key that this version of the program does not recognize
     job,
     standard_page,
     small_page,
@@ -52,28 +52,28 @@
     machine_type_list,
 };
 
-/// A key taken apart. It refers to the characters of the key, which must outlive it.
+/// The components of a parsed key. `name` refers to the characters of the key, which must outlive it.
 struct ParsedKey {
     Kind kind = Kind::other;
-    /// The name in the key: of the job (records of jobs, pages and final states; empty in a malformed page
-    /// key), the node or the team.
+    /// The id of the job for keys of jobs, pages and final states, or the name of the node or team. Empty for
+    /// other kinds and for a malformed page key.
     std::string_view name;
-    /// Of a page or a shard; nothing where the key has no valid number.
+    /// The page number or shard number; `std::nullopt` if the key has no valid number.
     std::optional<std::uint32_t> number;
 
-    /// A page of either size.
+    /// Whether the key is that of a standard or a small page.
     [[nodiscard]] bool is_page() const { return kind == Kind::standard_page || kind == Kind::small_page; }
     [[nodiscard]] JobId job() const { return JobId(std::string(name)); }
     [[nodiscard]] NodeName node() const { return NodeName(std::string(name)); }
     [[nodiscard]] TeamName team() const { return TeamName(std::string(name)); }
 };
 [[nodiscard]] ParsedKey parse(std::string_view key);
-/// The key must outlive its parts.
+/// Deleted because the result would refer to a destroyed temporary string.
 ParsedKey parse(std::string&& key) = delete;
 
-/// Whether controllers follow the key by their watch.
+/// Returns whether the key has the prefix that controllers watch.
 [[nodiscard]] bool is_watched(std::string_view key);
-/// The job whose page this is the key of; empty for other keys.
+/// Returns the job that a page key belongs to; an empty id for keys that are not page keys.
 [[nodiscard]] JobId job_of_page(const std::string& key);
 
 }  // namespace zincdyke::keys
--- a/src/store/machine_images.cpp
+++ b/src/store/machine_images.cpp
@@ -5,25 +5,26 @@
 namespace zincdyke {
 namespace {
 constexpr std::size_t max_machines = 8192;
-constexpr std::size_t max_images_of_machine = 48;
+constexpr std::size_t max_images_per_machine = 48;
 }  // namespace
 
-void MachineImages::add(const MachineId& machine, const std::string& image, double image_gb, Revision at) {
+void MachineImages::add(const MachineId& machine, const std::string& image, double image_gb,
+                        Revision placed_at) {
     if (image.empty()) return;
-    if (images_.size() >= max_machines && !images_.contains(machine)) make_room(at);
-    Images& images = images_[machine];
-    images.last_placed = std::max(images.last_placed, at);
-    std::erase_if(images.recent, [&](const Image& known) { return known.name == image; });
-    images.recent.push_front({image, image_gb});
-    if (images.recent.size() > max_images_of_machine) images.recent.pop_back();
+    if (machines_.size() >= max_machines && !machines_.contains(machine)) evict_inactive_machines(placed_at);
+    MachineEntry& entry = machines_[machine];
+    entry.last_placed_at = std::max(entry.last_placed_at, placed_at);
+    std::erase_if(entry.recent_images, [&](const Image& cached) { return cached.name == image; });
+    entry.recent_images.push_front({image, image_gb});
+    if (entry.recent_images.size() > max_images_per_machine) entry.recent_images.pop_back();
 }
 
-// Machines that were terminated leave their images behind: those without placements for a quarter of the
-// store's history go, and all if that isn't enough.
-void MachineImages::make_room(Revision at) {
-    const Revision oldest{at.value() - at.value() / 4};
-    std::erase_if(images_, [&](const auto& entry) { return entry.second.last_placed < oldest; });
-    if (images_.size() >= max_machines) images_.clear();
+// Evicts the machines that had no placement in the latest quarter of the store's revisions, and all machines
+// if the index is still full. Terminated machines may have been left in the index.
+void MachineImages::evict_inactive_machines(Revision current) {
+    const Revision oldest_kept{current.value() - current.value() / 4};
+    std::erase_if(machines_, [&](const auto& entry) { return entry.second.last_placed_at < oldest_kept; });
+    if (machines_.size() >= max_machines) machines_.clear();
 }
 
 bool MachineImages::holds(const MachineId& machine, const std::string& image, double cache_gb) const {
--- a/src/store/machine_images.h
+++ b/src/store/machine_images.h
@@ -1,4 +1,4 @@
-/// Index: which images lie on each machine.
+/// Index of the task images cached on each machine.
 #pragma once
 #include <deque>
 #include <string>
@@ -8,23 +8,26 @@
 
 namespace zincdyke {
 
-/// Images of the tasks placed on each machine, newest first, as far back as the machine's cache reaches.
+/// Images of the tasks recently placed on each machine.
 ///
-/// Every controller derives them from the placements that it follows, and keeps them when it reads the state
-/// anew: what only a shard's leader had seen was lost with it, and gangs waited for fetches of what lay there
-/// already.
+/// Every controller derives the index from the placements that it reads, and keeps it when the state cache is
+/// reloaded, so that a new shard leader still knows which images a machine has cached.
 class MachineImages {
   public:
-    /// A task with the image was placed on the machine. `at`: the revision of that placement.
-    void add(const MachineId& machine, const std::string& image, double image_gb, Revision at);
-    void forget(const MachineId& machine) { images_.erase(machine); }
+    /// Records that a task with the image was placed on the machine at the revision `placed_at`. Ignores an
+    /// empty image name.
+    void add(const MachineId& machine, const std::string& image, double image_gb, Revision placed_at);
+    void forget(const MachineId& machine) { machines_.erase(machine); }
+    /// Returns whether the image is among the machine's most recently placed images that together fit a cache
+    /// of `cache_gb`.
     [[nodiscard]] bool holds(const MachineId& machine, const std::string& image, double cache_gb) const;
-    /// Calls `fn` with the name of each image that a cache of `cache_gb` still holds.
+    /// Calls `fn` with the name of each image that a cache of `cache_gb` holds, the most recently placed
+    /// first.
     template <class Fn>
     void for_each(const MachineId& machine, double cache_gb, Fn fn) const {
-        const auto found = images_.find(machine);
-        if (found == images_.end()) return;
-        for (const auto& image : found->second.recent) {
+        const auto found = machines_.find(machine);
+        if (found == machines_.end()) return;
+        for (const auto& image : found->second.recent_images) {
             if ((cache_gb -= image.size_gb) < 0) return;
             fn(image.name);
         }
@@ -35,13 +38,13 @@
         std::string name;
         double size_gb = 0;
     };
-    struct Images {
-        std::deque<Image> recent;  // newest first
-        Revision last_placed;
+    struct MachineEntry {
+        std::deque<Image> recent_images;  // most recently placed first
+        Revision last_placed_at;
     };
-    void make_room(Revision at);
+    void evict_inactive_machines(Revision current);
 
-    std::unordered_map<MachineId, Images> images_;
+    std::unordered_map<MachineId, MachineEntry> machines_;
 };
 
 }  // namespace zincdyke
--- a/src/store/membership_index.h
+++ b/src/store/membership_index.h
@@ -1,4 +1,4 @@
-/// Index: which controllers are alive, and what each of them leads.
+/// Index of the live controllers and the roles that they lead.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -8,34 +8,35 @@
 
 namespace zincdyke {
 
-/// A share of the machines and the controller that leads it.
+/// The leadership of one shard, which is a partition of the machines.
 struct Shard {
-    NodeName leader;
-    Term term;
+    NodeName leader;  ///< empty if the shard has no leader
+    Term term;        ///< the version of the shard's record
 };
 
-/// Live controllers, leaders of the shards, and the leader of the autoscaler.
+/// Live controllers, shard leaders and the autoscaler's leader, as last read from the key-value store.
 class MembershipIndex {
   public:
-    /// `shard_count`: at least 1; the same on every controller, and for good.
+    /// `shard_count` must be at least 1, equal on all controllers, and constant for the deployment's
+    /// lifetime.
     explicit MembershipIndex(std::uint32_t shard_count) : shards_(shard_count) {}
 
-    /// A controller's session was opened or written again at `version`.
+    /// Records that the controller is live. `version` is the version of its node record.
     void set_live_node(const NodeName& node, Revision version) { live_nodes_[node] = version; }
-    /// A controller's session ended.
     void remove_live_node(const NodeName& node) { live_nodes_.erase(node); }
-    /// Ignores numbers of shards that there are not.
+    /// Sets the leadership of a shard; ignores a number that is out of range.
     void set_shard(std::uint32_t number, Shard shard);
-    /// Empty: there is none.
+    /// An empty name means that the autoscaler has no leader.
     void set_autoscaler_leader(NodeName leader);
+    /// Removes all live nodes and leaders. Keeps the number of shards.
     void clear();
 
-    /// By name, with the version of each session's record.
+    /// The live controllers, each with the version of its node record.
     [[nodiscard]] const std::map<NodeName, Revision>& live_nodes() const { return live_nodes_; }
-    /// By number.
+    /// All shards, indexed by shard number.
     [[nodiscard]] const std::vector<Shard>& shards() const { return shards_; }
     [[nodiscard]] const NodeName& autoscaler_leader() const { return autoscaler_leader_; }
-    /// The shard of a machine, by the hash of its name.
+    /// Returns the number of the shard that contains the machine, derived from a hash of the machine's name.
     [[nodiscard]] std::uint32_t shard_of(const MachineId& machine) const;
 
   private:
--- a/src/store/orphaned_pages.h
+++ b/src/store/orphaned_pages.h
@@ -1,15 +1,15 @@
-/// Pages whose job is over, or not read yet.
+/// The set of page records that have no job.
 #pragma once
 #include <set>
 #include <string>
 
 namespace zincdyke {
 
-/// Keys of written pages without a job; once the whole state has been read they may be deleted.
+/// Keys of page records whose job has ended or has not been read yet. Once the whole state has been read,
+/// these records may be deleted.
 class OrphanedPages {
   public:
     void add(const std::string& key) { keys_.insert(key); }
-    /// The page is gone, or has its job.
     void remove(const std::string& key) { keys_.erase(key); }
     void clear() { keys_.clear(); }
     [[nodiscard]] const std::set<std::string>& keys() const { return keys_; }
--- a/src/store/page_layout.cpp
+++ b/src/store/page_layout.cpp
@@ -6,28 +6,32 @@
 
 namespace zincdyke {
 namespace {
-// The longest entry of a placed task: index, attempt, machine and zone with their punctuation.
-constexpr std::size_t max_entry_bytes = 40;
-// What else a commit's value takes.
+// Upper bound for the JSON entry of a placed task: index, attempt, machine and zone with punctuation.
+constexpr std::size_t max_task_entry_bytes = 40;
+// Upper bound for the rest of a page's JSON record.
 constexpr std::size_t page_overhead_bytes = 400;
-constexpr std::size_t min_page_size = 8;
-constexpr std::size_t max_page_size = 400;
+constexpr std::size_t min_page_tasks = 8;
+constexpr std::size_t max_page_tasks = 400;
 
-std::uint32_t divide_up(std::uint32_t amount, std::uint32_t size) { return (amount + size - 1) / size; }
+std::uint32_t divide_rounding_up(std::uint32_t dividend, std::uint32_t divisor) {
+    return (dividend + divisor - 1) / divisor;
+}
 }  // namespace
 
 std::uint32_t page_size_for(const StateLimits& limits) {
     return static_cast<std::uint32_t>(std::clamp<std::size_t>(
-        (limits.value_bytes() - page_overhead_bytes) / max_entry_bytes, min_page_size, max_page_size));
+        (limits.value_bytes() - page_overhead_bytes) / max_task_entry_bytes, min_page_tasks, max_page_tasks));
 }
 
-std::uint32_t PageLayout::page_count() const { return divide_up(task_count_, page_size()); }
+std::uint32_t PageLayout::page_count() const { return divide_rounding_up(task_count_, page_size()); }
 
 TaskIndex PageLayout::task_count_in_page(std::uint32_t page) const {
     return std::min(page_size(), task_count_ - first_task_in_page(page));
 }
 
-std::uint32_t PageLayout::standard_page_count() const { return divide_up(task_count_, standard_size_); }
+std::uint32_t PageLayout::standard_page_count() const {
+    return divide_rounding_up(task_count_, standard_size_);
+}
 
 TaskIndex PageLayout::task_count_in_standard_page(std::uint32_t page) const {
     return std::min(standard_size_, task_count_ - first_task_in_standard_page(page));
@@ -41,7 +45,8 @@
 
 PageRange PageLayout::small_pages_of(std::uint32_t frozen_page) const {
     const TaskIndex first = first_task_in_standard_page(frozen_page);
-    return {page_of(first), divide_up(first + task_count_in_standard_page(frozen_page), page_size())};
+    return {page_of(first),
+            divide_rounding_up(first + task_count_in_standard_page(frozen_page), page_size())};
 }
 
 std::string page_key(const Job& job, std::uint32_t page) {
--- a/src/store/page_layout.h
+++ b/src/store/page_layout.h
@@ -1,4 +1,4 @@
-/// How a job's tasks are divided into pages, each stored as one record.
+/// Division of a job's tasks into pages, each stored as one record.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,24 +9,25 @@
 
 namespace zincdyke {
 
-/// Tasks whose page surely fits a value of the store under these limits. Every version of the program derives
-/// the same number from the settings, so that no record needs to name it.
+/// Returns the number of tasks per page for which a page's record always fits the store's value limit. Every
+/// version of the program derives the same number from the same limits, so it is not stored in the records.
 [[nodiscard]] std::uint32_t page_size_for(const StateLimits& limits);
 
-/// A run of page numbers.
+/// A half-open range of page numbers.
 struct PageRange {
     std::uint32_t first = 0;
-    std::uint32_t end = 0;  ///< one past the last
+    std::uint32_t end = 0;  ///< one past the last page number
 };
 
-/// The pages of one job: a value, derived from the job's record and the standard page size.
+/// Maps the task indexes of one job to pages, given the job's task count and page sizes.
 ///
-/// A job's pages are of the standard size unless its record names a smaller one, which it does once and for
-/// good. The pages of the standard size are then frozen, and a small page takes precedence over its range of
-/// them from its first write on (docs/design.md, "Upgrade").
+/// Pages have the standard size until the job's record names a smaller size, which is then final. From then
+/// on the standard pages are frozen (no longer written), and each small page overrides the same tasks of the
+/// frozen pages once it has been written (docs/design.md, "Upgrade").
 class PageLayout {
   public:
-    /// `standard_size` and `small_size` count tasks; `small_size` 0: the job has standard pages only.
+    /// `standard_size` and `small_size` are numbers of tasks per page. A `small_size` of 0 means that the job
+    /// has standard pages only.
     PageLayout(TaskIndex task_count, std::uint32_t standard_size, std::uint32_t small_size)
         : task_count_(task_count), standard_size_(standard_size), small_size_(small_size) {}
     PageLayout(const Job& job, std::uint32_t standard_size)
@@ -34,26 +35,30 @@
 
     /// Whether the job's record names a smaller page size.
     [[nodiscard]] bool has_small_pages() const { return small_size_ != 0; }
-    /// Tasks in a page that is written today; the last one may have fewer.
+    /// Number of tasks per page, of the small size if the job has one; the last page may have fewer tasks.
     [[nodiscard]] std::uint32_t page_size() const { return has_small_pages() ? small_size_ : standard_size_; }
     [[nodiscard]] std::uint32_t page_count() const;
     [[nodiscard]] std::uint32_t page_of(TaskIndex task) const { return task / page_size(); }
-    /// Where in its page a task stands.
+    /// Returns the position of a task within its page, counted from 0.
     [[nodiscard]] std::uint32_t position_in_page(TaskIndex task) const { return task % page_size(); }
+    /// Returns the index in the job of a page's first task.
     [[nodiscard]] TaskIndex first_task_in_page(std::uint32_t page) const { return page * page_size(); }
-    /// How many tasks an existing page has.
+    /// Returns the number of tasks in a page. The page number must be less than `page_count()`.
     [[nodiscard]] TaskIndex task_count_in_page(std::uint32_t page) const;
 
-    /// The same of pages of the standard size, whether frozen or not.
+    /// Number of standard-size pages, frozen or not.
     [[nodiscard]] std::uint32_t standard_page_count() const;
+    /// Returns the index in the job of the first task of a standard-size page.
     [[nodiscard]] TaskIndex first_task_in_standard_page(std::uint32_t page) const {
         return page * standard_size_;
     }
+    /// Returns the number of tasks in a standard-size page, whose number must be less than
+    /// `standard_page_count()`.
     [[nodiscard]] TaskIndex task_count_in_standard_page(std::uint32_t page) const;
 
-    /// The frozen pages that hold the tasks of a small page.
+    /// Returns the frozen pages that contain the tasks of a small page.
     [[nodiscard]] PageRange frozen_pages_of(std::uint32_t small_page) const;
-    /// The small pages that hold tasks of a frozen page.
+    /// Returns the small pages that contain tasks of a frozen page.
     [[nodiscard]] PageRange small_pages_of(std::uint32_t frozen_page) const;
 
   private:
@@ -62,7 +67,8 @@
     std::uint32_t small_size_;
 };
 
-/// The key under which a page is written today, of whichever size the job has.
+/// Returns the key under which the job's page is written: that of a small page if the job has a small page
+/// size, otherwise that of a standard page.
 [[nodiscard]] std::string page_key(const Job& job, std::uint32_t page);
 
 }  // namespace zincdyke
--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -1,4 +1,4 @@
-/// The version of each record, as last read.
+/// Versions of the key-value store's records, as last read by this node.
 #pragma once
 #include <string>
 #include <unordered_map>
@@ -8,30 +8,32 @@
 
 namespace zincdyke {
 
-/// Which version of each key this node has read: what a commit names as its preconditions.
+/// The latest version of each record that this node has read; commits name these versions as preconditions.
 ///
-/// Versions of deleted keys are remembered too, so that older news of a key doesn't bring it back.
+/// Versions of deleted keys are kept as well, so that an update older than the deletion is not applied.
 class RecordVersions {
   public:
-    /// Takes over an update's version. False if it is no newer than what is known: the update is to be
-    /// ignored. The watch trails behind this node's own commits, and lists may be older than either.
+    /// Stores the update's version. Returns false if the stored version is the same or newer: the caller must
+    /// then ignore the update, which may be outdated because the watch lags behind this node's own commits
+    /// and a list may lag behind both.
     [[nodiscard]] bool update_if_newer(const KeyUpdate& update);
-    /// 0 for a key that does not exist, as far as read.
+    /// Returns the version of an existing record; 0 if the record was deleted or never read.
     [[nodiscard]] Revision version(const std::string& key) const;
     [[nodiscard]] bool exists(const std::string& key) const { return version(key) != Revision{}; }
-    /// Lets a record be taken over again when it comes again, though no newer.
+    /// Removes a key's version, so that the next update of the key is accepted even if it is not newer.
     void forget(const std::string& key) { versions_.erase(key); }
-    /// Drops versions of deleted keys below `applied`, once there are many: they guard against older news,
-    /// which can't come any more after the watch is past them.
-    void drop_deleted(Revision applied);
+    /// Removes the versions of keys deleted before the revision `applied_revision` if many versions are
+    /// stored. They are not needed, because no update older than `applied_revision` arrives once the watch
+    /// has passed that revision.
+    void drop_deleted(Revision applied_revision);
     void clear() { versions_.clear(); }
 
   private:
-    struct Known {
+    struct Entry {
         Revision version;
-        bool exists = false;
+        bool exists = false;  // false: the record was deleted at `version`
     };
-    std::unordered_map<std::string, Known> versions_;
+    std::unordered_map<std::string, Entry> versions_;
 };
 
 }  // namespace zincdyke
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -9,16 +9,16 @@
 
 namespace zincdyke::records {
 namespace {
-// Where a controller of an earlier version called a replica done, its attempt is lost. The next one is above
-// any that it may have had.
-constexpr Attempt above_lost_attempt = 1'000'000;
-// In a job's record: its pages are of the size that the record names.
+// Replaces the attempt of a service's task that an earlier version recorded as done, without its attempt.
+// Larger than any attempt that the task can have reached.
+constexpr Attempt replacement_attempt = 1'000'000;
+// Value of `pages.layout` in a job's record: the pages have the size in `pages.size`.
 constexpr int small_pages_layout = 1;
 constexpr std::size_t tasks_per_digit = 4;
 
-// The page size that a job's record names; 0: it names none. Nothing when its pages are of a layout that this
-// version doesn't know.
-std::optional<std::uint32_t> small_page_size_in(const Json& record) {
+// Returns the small page size in a job's record; 0 if the record has none. Returns `std::nullopt` if the size
+// is invalid or the pages have a layout that this version does not support.
+std::optional<std::uint32_t> decode_small_page_size(const Json& record) {
     const auto pages = record.find("pages");
     if (pages == record.end()) return 0;
     if (!pages->is_object()) return std::nullopt;
@@ -40,7 +40,7 @@
     job.relay = NodeName(record.value("relay", ""));
     job.cancelled = record.value("x", false);
     if (record.contains("pin")) job.assigned_zone = record["pin"].get<std::string>();
-    const auto small_page_size = small_page_size_in(record);
+    const auto small_page_size = decode_small_page_size(record);
     if (!small_page_size) return std::nullopt;
     job.small_page_size = *small_page_size;
     return job;
@@ -48,7 +48,8 @@
 
 int digit_value(char digit) { return digit <= '9' ? digit - '0' : digit - 'a' + 10; }
 
-// One bit for each task, four to a hex digit, the first in the lowest.
+// Encodes which tasks are done as hex digits: one bit per task, four tasks per digit, the first task in the
+// lowest bit.
 std::string encode_done(const std::vector<TaskState>& tasks) {
     std::string digits((tasks.size() + tasks_per_digit - 1) / tasks_per_digit, '0');
     for (std::size_t i = 0; i < tasks.size(); ++i) {
@@ -64,15 +65,15 @@
     for (std::size_t i = 0; i < tasks.size() && i / tasks_per_digit < digits.size(); ++i) {
         const int bits = digit_value(digits[i / tasks_per_digit]);
         if ((bits >> (i % tasks_per_digit) & 1) == 0) continue;
-        // A replica is never done: it has to run again.
+        // A service's tasks run until the job is cancelled, so a task recorded as done has to run again.
         if (is_service)
-            tasks[i].attempt = above_lost_attempt;
+            tasks[i].attempt = replacement_attempt;
         else
             tasks[i].status = TaskState::Status::done;
     }
 }
 
-// Throws where the record can't be read.
+// Throws an exception if the record is malformed.
 std::vector<TaskState> decode_page_record(const Json& record, bool is_service, std::size_t first,
                                           TaskIndex count) {
     std::vector<TaskState> tasks(count);
@@ -92,12 +93,12 @@
     return tasks;
 }
 
-NodeName node_in(const Json& record, const char* field) { return NodeName(record.value(field, "")); }
+NodeName node_name_in(const Json& record, const char* field) { return NodeName(record.value(field, "")); }
 
 }  // namespace
 
 Json encode_page(const std::vector<TaskState>& tasks, std::size_t first) {
-    Json placed = Json::array(), tried = Json::array();
+    Json placed = Json::array(), pending_tried = Json::array();
     bool is_any_done = false;
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         const TaskState& task = tasks[i];
@@ -109,12 +110,12 @@
         } else if (task.status == TaskState::Status::done) {
             is_any_done = true;
         } else if (task.attempt > 0) {
-            tried.push_back({index, task.attempt});
+            pending_tried.push_back({index, task.attempt});
         }
     }
     Json record = Json::object();
     if (!placed.empty()) record["p"] = std::move(placed);
-    if (!tried.empty()) record["t"] = std::move(tried);
+    if (!pending_tried.empty()) record["t"] = std::move(pending_tried);
     if (is_any_done) record["d"] = encode_done(tasks);
     return record;
 }
@@ -138,14 +139,14 @@
     if (job.small_page_size != 0)
         record["pages"] = {{"layout", small_pages_layout}, {"size", job.small_page_size}};
     if (record.dump().size() <= max_bytes) return record;
-    // Accepted under larger limits, it must still be possible to cancel it and to change its relay. Only the
-    // list of allowed types can be so long; it need not name what no cloud has, nor anything twice.
+    // A job accepted under larger limits must remain cancellable and movable to another relay. Only its list
+    // of allowed machine types can be that long; types that do not exist and duplicates can be omitted.
     if (!job.spec.types || types.empty()) return record;
     wire::JobSpec spec = job.spec;
     spec.types->clear();
-    for (const auto& known : types)
-        if (std::find(job.spec.types->begin(), job.spec.types->end(), known.name) != job.spec.types->end())
-            spec.types->push_back(known.name);
+    for (const auto& type : types)
+        if (std::find(job.spec.types->begin(), job.spec.types->end(), type.name) != job.spec.types->end())
+            spec.types->push_back(type.name);
     record["spec"] = wire::spec_to_json(spec);
     return record;
 }
@@ -161,13 +162,13 @@
 Json encode_shard_leader(const NodeName& leader, Revision incarnation) {
     return {{"owner", leader.value()}, {"inc", incarnation.value()}};
 }
-NodeName decode_shard_leader(const Json& record) { return node_in(record, "owner"); }
+NodeName decode_shard_leader(const Json& record) { return node_name_in(record, "owner"); }
 
 Json encode_team_lock_holder(const NodeName& holder) { return {{"node", holder.value()}}; }
-NodeName decode_team_lock_holder(const Json& record) { return node_in(record, "node"); }
+NodeName decode_team_lock_holder(const Json& record) { return node_name_in(record, "node"); }
 
 Json encode_autoscaler_leader(const NodeName& leader) { return {{"node", leader.value()}}; }
-NodeName decode_autoscaler_leader(const Json& record) { return node_in(record, "node"); }
+NodeName decode_autoscaler_leader(const Json& record) { return node_name_in(record, "node"); }
 
 Json encode_format_level(std::uint32_t level) { return {{"format", level}}; }
 
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -5,25 +5,25 @@
 
 namespace zincdyke {
 namespace {
-// The rest is left over: the clocks of the nodes and of the store differ.
+// Below 1 because the clocks of the nodes and of the store differ.
 constexpr double usable_share = 0.95;
-constexpr double user_read_share = 0.25;  // of the requests
-// Not spent on starts and ends, so that a submission need not wait for them.
+constexpr double user_read_share = 0.25;  // of the request budget
+// Not spent on commits of task starts and ends, so that submissions need not wait for these.
 constexpr double reserved_writes = 1.0;
 constexpr double write_load_window_s = 8;
 constexpr double min_rate = 1.0;
-constexpr double min_available_writes = 2.0;
+constexpr double min_commit_writes = 2.0;
 }  // namespace
 
 RequestBudget::RequestBudget(const Settings& settings) : settings_(settings) {
     set_share(1.0 / settings.size, 1.0 / settings.size);
 }
 
-void RequestBudget::set_share(double requests, double writes) {
-    const double request_rate = settings_.state_rps * requests * usable_share;
+void RequestBudget::set_share(double request_share, double write_share) {
+    const double request_rate = settings_.state_rps * request_share * usable_share;
     requests_.set_rate(std::max(min_rate, request_rate * (1 - user_read_share)));
     user_reads_.set_rate(std::max(min_rate, request_rate * user_read_share));
-    writes_.set_rate(std::max(min_rate, settings_.strictest_limits.write_rps * writes * usable_share));
+    writes_.set_rate(std::max(min_rate, settings_.strictest_limits.write_rps * write_share * usable_share));
 }
 
 std::optional<Duration> RequestBudget::take_or_wait(SteadyTime now, RequestPriority priority, double writes) {
@@ -37,7 +37,7 @@
     (from_user_reads ? user_reads_ : requests_).take(1);
     if (writes > 0) {
         writes_.take(writes);
-        count_writes(now, writes);
+        add_recent_writes(now, writes);
     }
     return std::nullopt;
 }
@@ -50,11 +50,12 @@
 void RequestBudget::drain(double writes) { (writes > 0 ? writes_ : requests_).drain(); }
 
 std::size_t RequestBudget::available_writes(SteadyTime now) {
-    // A bucket too small for both still lets one commit of two writes go when it is full.
-    if (!writes_.refill_and_check(now, min_available_writes + reserved_writes) ||
+    // A full bucket passes this check even if its capacity is smaller. It must then still allow one commit of
+    // two writes.
+    if (!writes_.refill_and_check(now, min_commit_writes + reserved_writes) ||
         !requests_.refill_and_check(now, 1))
         return 0;
-    return static_cast<std::size_t>(std::max(min_available_writes, writes_.tokens() - reserved_writes));
+    return static_cast<std::size_t>(std::max(min_commit_writes, writes_.tokens() - reserved_writes));
 }
 
 Duration RequestBudget::time_until_writes(std::size_t count) const {
@@ -63,13 +64,14 @@
 }
 
 double RequestBudget::write_load(SteadyTime now) {
-    count_writes(now, 0);
+    add_recent_writes(now, 0);
     return recent_writes_ / (writes_.rate() * write_load_window_s);
 }
 
-void RequestBudget::count_writes(SteadyTime now, double count) {
-    recent_writes_ = recent_writes_ * std::exp(-to_seconds(now - counted_at_) / write_load_window_s) + count;
-    counted_at_ = now;
+void RequestBudget::add_recent_writes(SteadyTime now, double count) {
+    recent_writes_ =
+        recent_writes_ * std::exp(-to_seconds(now - recent_writes_updated_at_) / write_load_window_s) + count;
+    recent_writes_updated_at_ = now;
 }
 
 }  // namespace zincdyke
--- a/src/store/request_budget.h
+++ b/src/store/request_budget.h
@@ -1,4 +1,4 @@
-/// How many requests and writes this node may send to the key-value store.
+/// Limits the rate of this node's requests and writes to the key-value store.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -10,42 +10,42 @@
 
 namespace zincdyke {
 
-/// This node's share of the store's rate limits, of which all controllers together may use no more than there
-/// is.
+/// This node's share of the key-value store's limits on requests and writes per second, which all controllers
+/// together must not exceed.
 ///
-/// A write counts against both limits, as one request for its whole transaction. Users' reads have a share of
-/// their own: no burst of other work may keep every question about a job unanswered
-/// (Budget.UsersReadsHaveTheirShare).
+/// A transaction counts as one request, and each of its writes counts against the write limit. Part of the
+/// request rate is reserved for users' reads, so that bursts of other requests cannot starve them.
 class RequestBudget {
   public:
-    /// `settings` must outlive this. Starts with the share of one controller among all.
+    /// `settings` must outlive this object. The initial share is 1 / number of controllers.
     explicit RequestBudget(const Settings& settings);
 
-    /// The shares of all controllers' requests and writes that are this node's, from 0 to 1.
-    void set_share(double requests, double writes);
-    /// Takes one request with so many writes. If it can't go yet: how long until it may, and nothing is
-    /// taken.
+    /// Sets this node's shares of the store's request and write limits, each from 0 to 1.
+    void set_share(double request_share, double write_share);
+    /// Takes one request with `writes` writes from the budget and returns `std::nullopt`. If the budget does
+    /// not suffice, takes nothing and returns how long to wait.
     [[nodiscard]] std::optional<Duration> take_or_wait(SteadyTime now, RequestPriority priority,
                                                        double writes);
-    /// Takes one request that goes out whether the budget allows it or not.
+    /// Takes one request from the budget even if the budget does not suffice.
     void take_unconditionally(SteadyTime now);
-    /// The store has refused a request with so many writes for its rate: what was saved up is gone.
+    /// Discards the unused budget after the store rejected a request with `writes` writes as rate limited:
+    /// the write budget if `writes` is above 0, otherwise the request budget.
     void drain(double writes);
 
-    /// How many writes may go at once, a few left over for submissions and sessions.
+    /// Returns how many writes may be sent now. One write is reserved for submissions and sessions.
     [[nodiscard]] std::size_t available_writes(SteadyTime now);
-    /// When so many may go; from the moment of the last look at the budget.
+    /// Returns the time until `count` writes may be sent, measured from the last refill of the budget.
     [[nodiscard]] Duration time_until_writes(std::size_t count) const;
-    /// How much of the write budget was spent lately, from 0 to about 1.
+    /// Returns the recently spent fraction of the write budget, from 0 to about 1.
     [[nodiscard]] double write_load(SteadyTime now);
 
   private:
-    void count_writes(SteadyTime now, double count);
+    void add_recent_writes(SteadyTime now, double count);
 
     const Settings& settings_;
     TokenBucket requests_, user_reads_, writes_;
-    double recent_writes_ = 0;  // decaying
-    SteadyTime counted_at_{};
+    double recent_writes_ = 0;  // decays exponentially
+    SteadyTime recent_writes_updated_at_{};
 };
 
 }  // namespace zincdyke
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -9,7 +9,7 @@
 namespace zincdyke {
 namespace {
 constexpr Duration queue_timeout = std::chrono::milliseconds(2500);
-constexpr Duration max_pump_delay = std::chrono::milliseconds(250);
+constexpr Duration max_dispatch_delay = std::chrono::milliseconds(250);
 constexpr std::size_t max_queue_length = 400;
 
 constexpr std::size_t index_of(RequestPriority priority) { return static_cast<std::size_t>(priority); }
@@ -17,11 +17,11 @@
 
 void StoreReachability::record_success() {
     if (!is_reachable()) log::info("event=store_reachable");
-    failures_ = 0;
+    consecutive_failures_ = 0;
 }
 
 void StoreReachability::record_failure(SteadyTime now, int status) {
-    if (++failures_ != max_failures) return;
+    if (++consecutive_failures_ != max_consecutive_failures) return;
     unreachable_since_ = now;
     log::warn("event=store_unreachable status={}", status);
 }
@@ -36,36 +36,38 @@
 void RequestQueue::submit(RequestPriority priority, Request request) {
     const SteadyTime deadline = env_.now() + queue_timeout;
     auto& queue = queues_[index_of(priority)];
-    // While the store is out of reach only leases go out, which serve as a probe; the rest is told at once.
-    const bool may_go = reachability_.is_reachable() || priority == RequestPriority::lease;
-    if (!may_go || queue.size() >= max_queue_length)
-        return shed(std::move(request.done), store_protocol::unavailable_response());
+    // While the store is unreachable, only requests of lease priority are sent; they probe whether it
+    // responds again. Other requests fail immediately.
+    const bool may_send = reachability_.is_reachable() || priority == RequestPriority::lease;
+    if (!may_send || queue.size() >= max_queue_length)
+        return complete_unsent(std::move(request.done), store_protocol::unavailable_response());
     queue.push_back({std::move(request), deadline});
-    pump();
+    dispatch();
 }
 
-void RequestQueue::shed(Reply done, HttpResponse response) {
+void RequestQueue::complete_unsent(Reply done, HttpResponse response) {
     ++counts_.load_shed;
     env_.after(Duration(0), [done = std::move(done), response = std::move(response)] { done(response); });
 }
 
-void RequestQueue::pump() {
+void RequestQueue::dispatch() {
     const SteadyTime now = env_.now();
-    for (std::size_t i = 0; i < priority_count; ++i) pump(static_cast<RequestPriority>(i), now);
+    for (std::size_t i = 0; i < priority_count; ++i) dispatch(static_cast<RequestPriority>(i), now);
 }
 
-void RequestQueue::pump(RequestPriority priority, SteadyTime now) {
+void RequestQueue::dispatch(RequestPriority priority, SteadyTime now) {
     auto& queue = queues_[index_of(priority)];
     while (!queue.empty()) {
-        Waiting& next = queue.front();
+        QueuedRequest& next = queue.front();
         if (next.deadline < now) {
-            shed(std::move(next.request.done), store_protocol::rate_limited_response());
+            complete_unsent(std::move(next.request.done), store_protocol::rate_limited_response());
             queue.pop_front();
             continue;
         }
         if (const auto wait = budget_.take_or_wait(now, priority, next.request.writes)) {
-            // What is less urgent may still go: out of writes reads can, and users' reads have their share.
-            return pump_after(*wait);
+            // Requests of lower priorities may still be sent: reads need no write budget, and users' reads
+            // have a reserved share.
+            return schedule_dispatch(*wait);
         }
         ++counts_.requests[index_of(priority)];
         counts_.writes[index_of(priority)] += static_cast<std::uint64_t>(next.request.writes);
@@ -75,11 +77,11 @@
     }
 }
 
-void RequestQueue::pump_after(Duration wait) {
-    if (timer_ != 0) return;
-    timer_ = env_.after(std::min(wait, max_pump_delay), [this] {
-        timer_ = 0;
-        pump();
+void RequestQueue::schedule_dispatch(Duration delay) {
+    if (dispatch_timer_ != 0) return;
+    dispatch_timer_ = env_.after(std::min(delay, max_dispatch_delay), [this] {
+        dispatch_timer_ = 0;
+        dispatch();
     });
 }
 
@@ -88,7 +90,7 @@
               [this, writes = request.writes, done = std::move(request.done)](HttpResponse response) {
                   on_response(writes, response);
                   done(std::move(response));
-                  pump();
+                  dispatch();
               });
 }
 
--- a/src/store/request_queue.h
+++ b/src/store/request_queue.h
@@ -1,4 +1,4 @@
-/// Sends requests to the key-value store within the budget, the most urgent first.
+/// Sends requests to the key-value store in the order of their priorities, as the request budget allows.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -12,50 +12,53 @@
 
 namespace zincdyke {
 
-/// Whether the store answers this node. Whether it answers others can't be told from here.
+/// Tracks whether the key-value store responds to this node. Other nodes may have a different result.
 class StoreReachability {
   public:
-    /// What came of a request.
+    /// Records that the store responded to a request.
     void record_success();
+    /// Records that the store did not respond (`status` 0) or responded that it is unavailable.
     void record_failure(SteadyTime now, int status);
-    [[nodiscard]] bool is_reachable() const { return failures_ < max_failures; }
-    /// For how long it has been out of reach.
+    [[nodiscard]] bool is_reachable() const { return consecutive_failures_ < max_consecutive_failures; }
+    /// How long the store has been unreachable; 0 if it is reachable.
     [[nodiscard]] Duration unreachable_for(SteadyTime now) const;
 
   private:
-    static constexpr int max_failures = 2;  // in a row
-    int failures_ = 0;
+    static constexpr int max_consecutive_failures = 2;
+    int consecutive_failures_ = 0;
     SteadyTime unreachable_since_{};
 };
 
-/// Requests that wait for the budget, one queue for each priority.
+/// Requests waiting for the request budget, in one queue per priority.
 ///
-/// A request that has waited for 2.5 s, or finds its queue full or the store out of reach, is answered as if
-/// the store had carried nothing out; so every request is answered, once, from the event loop and never from
-/// within a call. Must outlive the requests that it has sent.
+/// A request that has waited for 2.5 s, or finds its queue full or the store unreachable, is not sent and
+/// completes with status 429 or 503. The `done` callback of every request is called once, on the event-loop
+/// thread and never from within a member function. The queue must outlive the requests that it has sent.
 class RequestQueue {
   public:
     struct Request {
         HttpRequest http;
-        /// How many records it writes: a count, in the unit of the budget.
+        /// Number of records that the request writes, charged to the write budget.
         double writes = 0;
-        /// From when it is sent.
+        /// Maximum time from sending the request to its response.
         Duration timeout;
         Reply done;
     };
-    /// Since the start.
+    /// Counters since the start of the process.
     struct Counts {
         std::array<std::uint64_t, priority_count> requests{}, writes{};
         std::uint64_t watches = 0, watch_bytes = 0;
-        std::uint64_t rate_limited = 0;  ///< by the store, for their rate (429)
-        std::uint64_t load_shed = 0;     ///< by this node, and not sent
+        std::uint64_t rate_limited = 0;  ///< requests that the store rejected with status 429
+        std::uint64_t load_shed = 0;     ///< requests that this node completed without sending them
     };
 
-    /// Both must outlive the queue.
+    /// `env` and `settings` must outlive the queue.
     RequestQueue(Env& env, const Settings& settings);
 
+    /// Queues a request and sends it when the request budget allows.
     void submit(RequestPriority priority, Request request);
-    /// Sends a watch past the queues: it waits on purpose, and its silence says nothing about the store.
+    /// Sends a watch request immediately, without queueing. Its result does not affect `reachability()`,
+    /// because the store delays the response on purpose.
     void send_watch(HttpRequest http, Duration timeout, Reply done);
 
     [[nodiscard]] RequestBudget& budget() { return budget_; }
@@ -63,14 +66,14 @@
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
-    struct Waiting {
+    struct QueuedRequest {
         Request request;
         SteadyTime deadline;
     };
-    void pump();
-    void pump(RequestPriority priority, SteadyTime now);
-    void pump_after(Duration wait);
-    void shed(Reply done, HttpResponse response);
+    void dispatch();
+    void dispatch(RequestPriority priority, SteadyTime now);
+    void schedule_dispatch(Duration delay);
+    void complete_unsent(Reply done, HttpResponse response);
     void send(Request request);
     void on_response(double writes, const HttpResponse& response);
 
@@ -78,8 +81,8 @@
     const Settings& settings_;
     RequestBudget budget_;
     StoreReachability reachability_;
-    std::array<std::deque<Waiting>, priority_count> queues_;
-    Env::TimerId timer_ = 0;  // of the next pump; 0: none
+    std::array<std::deque<QueuedRequest>, priority_count> queues_;
+    Env::TimerId dispatch_timer_ = 0;  // 0 if no dispatch is scheduled
     Counts counts_;
 };
 
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -37,12 +37,12 @@
 }
 
 TaskState StateCache::task(const TaskRef& task) const {
-    const Job* const known = job(task.job);
-    if (known == nullptr) return {};
-    const PageLayout pages = layout(*known);
-    const auto page = known->pages.find(pages.page_of(task.task));
-    if (page == known->pages.end()) return {};
-    const std::size_t position = pages.position_in_page(task.task);
+    const Job* const cached_job = job(task.job);
+    if (cached_job == nullptr) return {};
+    const PageLayout job_layout = layout(*cached_job);
+    const auto page = cached_job->pages.find(job_layout.page_of(task.task));
+    if (page == cached_job->pages.end()) return {};
+    const std::size_t position = job_layout.position_in_page(task.task);
     return position < page->second.tasks.size() ? page->second.tasks[position] : TaskState{};
 }
 
@@ -53,14 +53,14 @@
 }
 
 std::optional<std::string> StateCache::required_zone(const Job& job) const {
-    const bool is_free = job.spec.one_zone && !job.spec.zone && job.placed == 0 &&
-                         zone_change_page_count(job) <= max_pages_for_zone_change;
-    return is_free ? std::nullopt : job.assigned_zone;
+    const bool may_change_zone = job.spec.one_zone && !job.spec.zone && job.placed == 0 &&
+                                 zone_change_page_count(job) <= max_pages_for_zone_change;
+    return may_change_zone ? std::nullopt : job.assigned_zone;
 }
 
 std::size_t StateCache::zone_change_page_count(const Job& job) const {
-    const PageLayout pages = layout(job);
-    return pages.page_count() + (pages.has_small_pages() ? pages.standard_page_count() : 0);
+    const PageLayout job_layout = layout(job);
+    return job_layout.page_count() + (job_layout.has_small_pages() ? job_layout.standard_page_count() : 0);
 }
 
 const wire::MachineType* StateCache::machine_type(const std::string& name) const {
@@ -72,10 +72,10 @@
 std::vector<Condition> StateCache::page_conditions(const Job& job, std::uint32_t page) const {
     const std::string key = page_key(job, page);
     std::vector<Condition> conditions{{key, version(key)}};
-    const PageLayout pages = layout(job);
-    if (!pages.has_small_pages() || versions_.exists(key)) return conditions;
-    const PageRange frozen = pages.frozen_pages_of(page);
-    for (std::uint32_t number = frozen.first; number < frozen.end; ++number) {
+    const PageLayout job_layout = layout(job);
+    if (!job_layout.has_small_pages() || versions_.exists(key)) return conditions;
+    const PageRange frozen_pages = job_layout.frozen_pages_of(page);
+    for (std::uint32_t number = frozen_pages.first; number < frozen_pages.end; ++number) {
         std::string frozen_key = keys::page(job.spec.id, number);
         const Revision frozen_version = version(frozen_key);
         conditions.push_back({std::move(frozen_key), frozen_version});
@@ -91,11 +91,11 @@
 
 std::vector<std::string> StateCache::written_page_keys(const Job& job) const {
     std::vector<std::string> written;
-    const auto add = [&](std::string key) {
+    const auto add_if_written = [&](std::string key) {
         if (versions_.exists(key)) written.push_back(std::move(key));
     };
-    for (const auto& [number, page] : job.pages) add(page_key(job, number));
-    for (const auto& [number, page] : job.frozen_pages) add(keys::page(job.spec.id, number));
+    for (const auto& [number, page] : job.pages) add_if_written(page_key(job, number));
+    for (const auto& [number, page] : job.frozen_pages) add_if_written(keys::page(job.spec.id, number));
     return written;
 }
 
@@ -103,60 +103,60 @@
     return records::encode_job(job, machine_types_, settings_.strictest_limits.value_bytes());
 }
 
-void StateCache::apply(const KeyUpdate& item) {
-    if (!versions_.update_if_newer(item)) return;
-    const keys::ParsedKey key = keys::parse(std::string_view(item.key));
+void StateCache::apply(const KeyUpdate& update) {
+    if (!versions_.update_if_newer(update)) return;
+    const keys::ParsedKey key = keys::parse(std::string_view(update.key));
     switch (key.kind) {
         case keys::Kind::job:
-            apply_job(key.job(), item);
+            apply_job(key.job(), update);
             break;
         case keys::Kind::standard_page:
         case keys::Kind::small_page:
-            apply_page(key, item);
+            apply_page(key, update);
             break;
         case keys::Kind::supported_format_level:
         case keys::Kind::fleet_format_level:
-            apply_format(key, item);
+            apply_format_level(key, update);
             break;
         case keys::Kind::node:
         case keys::Kind::shard:
         case keys::Kind::autoscaler:
-            apply_membership(key, item);
+            apply_membership(key, update);
             break;
         case keys::Kind::team_lock:
-            if (item.value)
-                team_quotas_.set_lock_holder(key.team(), records::decode_team_lock_holder(*item.value));
+            if (update.value)
+                team_quotas_.set_lock_holder(key.team(), records::decode_team_lock_holder(*update.value));
             break;
         case keys::Kind::machine_type_list:
-            if (!item.value) break;
-            if (auto types = wire::types_from_json(*item.value)) machine_types_ = std::move(*types);
+            if (!update.value) break;
+            if (auto types = wire::types_from_json(*update.value)) machine_types_ = std::move(*types);
             break;
         case keys::Kind::final_state:
         case keys::Kind::other:
             break;
     }
-    if (!item.value) versions_.drop_deleted(applied_revision);
+    if (!update.value) versions_.drop_deleted(applied_revision);
 }
 
-void StateCache::apply_membership(const keys::ParsedKey& key, const KeyUpdate& item) {
+void StateCache::apply_membership(const keys::ParsedKey& key, const KeyUpdate& update) {
     if (key.kind == keys::Kind::node) {
-        if (item.value)
-            membership_.set_live_node(key.node(), item.version);
+        if (update.value)
+            membership_.set_live_node(key.node(), update.version);
         else
             membership_.remove_live_node(key.node());
     } else if (key.kind == keys::Kind::shard) {
-        if (item.value && key.number)
-            membership_.set_shard(*key.number, {records::decode_shard_leader(*item.value), item.version});
+        if (update.value && key.number)
+            membership_.set_shard(*key.number, {records::decode_shard_leader(*update.value), update.version});
     } else {
-        membership_.set_autoscaler_leader(item.value ? records::decode_autoscaler_leader(*item.value)
-                                                     : NodeName());
+        membership_.set_autoscaler_leader(update.value ? records::decode_autoscaler_leader(*update.value)
+                                                       : NodeName());
     }
     observer_.on_membership_changed();
 }
 
-void StateCache::apply_format(const keys::ParsedKey& key, const KeyUpdate& item) {
-    if (!item.value) return;
-    const std::optional<std::uint32_t> level = records::decode_format_level(*item.value);
+void StateCache::apply_format_level(const keys::ParsedKey& key, const KeyUpdate& update) {
+    if (!update.value) return;
+    const std::optional<std::uint32_t> level = records::decode_format_level(*update.value);
     if (!level) return;
     if (key.kind == keys::Kind::fleet_format_level)
         format_levels_.raise_fleet_level(*level);
@@ -165,9 +165,9 @@
     observer_.on_membership_changed();
 }
 
-void StateCache::apply_job(const JobId& id, const KeyUpdate& item) {
-    if (!item.value) return remove_job(id);
-    auto decoded = records::decode_job(*item.value);
+void StateCache::apply_job(const JobId& id, const KeyUpdate& update) {
+    if (!update.value) return remove_job(id);
+    auto decoded = records::decode_job(*update.value);
     if (!decoded) {
         log::error("event=invalid_record job={}", id.value());
         return;
@@ -181,7 +181,7 @@
     decoded->placed = job.placed;
     decoded->done = job.done;
     job = std::move(*decoded);
-    job.version = item.version;
+    job.version = update.version;
     if (is_resized) {
         freeze_pages(job, layout(job));
         observer_.on_pages_resized(id);
@@ -217,63 +217,65 @@
     observer_.on_job_cancelled(id);
 }
 
-void StateCache::apply_page(const keys::ParsedKey& key, const KeyUpdate& item) {
+void StateCache::apply_page(const keys::ParsedKey& key, const KeyUpdate& update) {
     if (key.name.empty()) return;
-    if (!item.value) {
-        orphaned_pages_.remove(item.key);
-        return;  // pages go with their job
+    if (!update.value) {
+        orphaned_pages_.remove(update.key);
+        return;  // the page's tasks are removed together with their job
     }
     const JobId id = key.job();
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) {
-        // Perhaps only its job is still to come: a list's later answers are newer than its first ones, and
-        // the watch brings both from there on. With its version known the page would be skipped when it comes
-        // again, and its tasks be taken for pending (StateCache.PageBeforeItsJob).
-        versions_.forget(item.key);
-        orphaned_pages_.add(item.key);
+        // A page may be read before its job, because later parts of a list are newer than earlier ones.
+        // Without `forget`, the page would be ignored as already applied when the watch returns it again
+        // after its job, and its tasks would appear to be pending.
+        versions_.forget(update.key);
+        orphaned_pages_.add(update.key);
         return;
     }
-    orphaned_pages_.remove(item.key);
+    orphaned_pages_.remove(update.key);
     if (key.number && key.kind == keys::Kind::standard_page)
-        apply_standard_page(found->second, *key.number, item);
+        apply_standard_page(found->second, *key.number, update);
     else if (key.number)
-        apply_small_page(found->second, *key.number, item);
+        apply_small_page(found->second, *key.number, update);
     observer_.on_job_changed(id);
 }
 
-void StateCache::apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& item) {
-    const PageLayout pages = layout(job);
-    if (page >= pages.standard_page_count()) return;
-    auto tasks = records::decode_page(*item.value, job, pages.first_task_in_standard_page(page),
-                                      pages.task_count_in_standard_page(page));
+void StateCache::apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& update) {
+    const PageLayout job_layout = layout(job);
+    if (page >= job_layout.standard_page_count()) return;
+    auto tasks = records::decode_page(*update.value, job, job_layout.first_task_in_standard_page(page),
+                                      job_layout.task_count_in_standard_page(page));
     if (!tasks) return;
-    if (!pages.has_small_pages()) return set_page(job, page, std::move(*tasks), item.version);
-    job.frozen_pages[page] = Page{item.version, std::move(*tasks)};
-    // A small page that was written takes precedence.
-    const PageRange small = pages.small_pages_of(page);
-    for (std::uint32_t number = small.first; number < small.end; ++number)
+    if (!job_layout.has_small_pages()) return set_page(job, page, std::move(*tasks), update.version);
+    job.frozen_pages[page] = Page{update.version, std::move(*tasks)};
+    // A small page that has its own record overrides the frozen page.
+    const PageRange small_pages = job_layout.small_pages_of(page);
+    for (std::uint32_t number = small_pages.first; number < small_pages.end; ++number)
         if (!versions_.exists(page_key(job, number)))
-            set_page(job, number, tasks_in_frozen_pages(job, pages, number), {});
+            set_page(job, number, tasks_in_frozen_pages(job, job_layout, number), {});
 }
 
-void StateCache::apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& item) {
-    const PageLayout pages = layout(job);
-    // The record that tells the pages' size is still to come, and the watch brings this one again after it.
-    if (!pages.has_small_pages()) return versions_.forget(item.key);
-    if (page >= pages.page_count()) return;
-    auto tasks = records::decode_page(*item.value, job, pages.first_task_in_page(page),
-                                      pages.task_count_in_page(page));
-    if (tasks) set_page(job, page, std::move(*tasks), item.version);
+void StateCache::apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& update) {
+    const PageLayout job_layout = layout(job);
+    // The job's record with the page size has not been read yet. The watch returns this page again after that
+    // record, and `forget` lets it be applied then.
+    if (!job_layout.has_small_pages()) return versions_.forget(update.key);
+    if (page >= job_layout.page_count()) return;
+    auto tasks = records::decode_page(*update.value, job, job_layout.first_task_in_page(page),
+                                      job_layout.task_count_in_page(page));
+    if (tasks) set_page(job, page, std::move(*tasks), update.version);
 }
 
-// Replaces a page's tasks, and brings the indexes by machine and by team up to date.
+// Replaces a page's tasks and updates the counts of the job and the indexes by machine and by team.
 void StateCache::set_page(Job& job, std::uint32_t number, std::vector<TaskState> tasks, Revision version) {
-    static const TaskState none;
+    static const TaskState unplaced;
     Page& page = job.pages[number];
     const TaskIndex first = layout(job).first_task_in_page(number);
     for (std::size_t i = 0; i < std::max(page.tasks.size(), tasks.size()); ++i)
-        move_task(job, first + static_cast<TaskIndex>(i), i < page.tasks.size() ? page.tasks[i] : none,
-                  i < tasks.size() ? tasks[i] : none, version);
+        update_placement(job, first + static_cast<TaskIndex>(i),
+                         i < page.tasks.size() ? page.tasks[i] : unplaced,
+                         i < tasks.size() ? tasks[i] : unplaced, version);
     const TaskIndex placed_before = page.placed;
     const TaskIndex done_before = page.done;
     page.tasks = std::move(tasks);
@@ -285,10 +287,10 @@
                             std::int64_t{page.placed} - std::int64_t{placed_before});
 }
 
-// The observer is told between the two halves of a move: of the machine that the task left, before it is seen
-// on the other.
-void StateCache::move_task(const Job& job, TaskIndex task, const TaskState& before, const TaskState& after,
-                           Revision version) {
+// Updates the index by machine after a task's state has changed. If the task moved, the observer is notified
+// of the previous machine before the task is added to the new one.
+void StateCache::update_placement(const Job& job, TaskIndex task, const TaskState& before,
+                                  const TaskState& after, Revision version) {
     const bool was_placed = before.status == TaskState::Status::placed;
     const bool is_placed = after.status == TaskState::Status::placed;
     if (!was_placed && !is_placed) return;
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -1,4 +1,4 @@
-/// What the key-value store holds, as last read: the shared view that every decision starts from.
+/// This controller's copy of the state in the key-value store, on which its decisions are based.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -29,39 +29,38 @@
 
 /// The records of the key-value store and the indexes derived from them.
 ///
-/// It may trail behind the store: decisions become facts only by a commit whose preconditions name the
-/// versions seen here. Updates of one key may come in any order and more than once; what comes out is the
-/// same. What a record says goes to one small class each (`MembershipIndex`, `TeamQuotas`, ...); jobs and
-/// their pages are kept here. Lives on the event loop, as do its observer and its callers.
+/// The cache may lag behind the store, so a decision takes effect only by a commit whose preconditions name
+/// the versions in the cache. Updates of a key may arrive in any order and repeatedly; the newest version
+/// wins. Used on the event-loop thread only.
 class StateCache {
   public:
-    /// Both must outlive the cache.
+    /// `settings` and `observer` must outlive the cache.
     StateCache(const Settings& settings, StateObserver& observer);
 
     // --- Updates ---
 
-    /// Takes over what was read under a key; ignored if it is older than what is known.
-    void apply(const KeyUpdate& item);
-    /// Forgets the records, to read them anew. Known cancellations, images and the fleet's format level stay.
+    /// Applies a record that was read or committed; ignores it if the cache has the same or a newer version.
+    void apply(const KeyUpdate& update);
+    /// Removes all records before a reload. Keeps known cancellations, images and the fleet's format level.
     void clear();
-    /// A job is known to be cancelled, though this node has not read it: a controller that told its user says
-    /// so. It stays so, whatever older versions of the record come.
+    /// Marks a job as cancelled before this node has read the cancellation, because a peer that confirmed it
+    /// to its user reported it. Older versions of the job's record do not revert it.
     void mark_cancelled(const JobId& id);
-    /// The machine was terminated: its images are gone.
+    /// Removes the images of a terminated machine.
     void forget_machine(const MachineId& machine) { images_.forget(machine); }
-    /// Everything up to this revision has been read.
+    /// The store's revision up to which all changes have been read.
     Revision applied_revision;
-    /// How often the cache was cleared.
+    /// Number of times that the cache was cleared.
     [[nodiscard]] std::uint64_t generation() const { return generation_; }
-    /// The version of a record; 0 if there is none.
+    /// Returns the version of a record; 0 if the record does not exist.
     [[nodiscard]] Revision version(const std::string& key) const { return versions_.version(key); }
 
     // --- Jobs and tasks ---
 
-    /// Null for a job that is not known, or has ended.
+    /// Returns a job; null if it has ended or is not in the cache.
     [[nodiscard]] const Job* job(const JobId& id) const;
     [[nodiscard]] const std::unordered_map<JobId, Job>& jobs() const { return jobs_; }
-    /// Pending, attempt 0, for a task that is not known.
+    /// Returns a task's state; pending with attempt 0 if the job or its page is not in the cache.
     [[nodiscard]] TaskState task(const TaskRef& task) const;
     [[nodiscard]] const std::set<TaskRef>& tasks_on(const MachineId& machine) const {
         return tasks_by_machine_.tasks_on(machine);
@@ -69,23 +68,24 @@
     [[nodiscard]] const std::unordered_map<MachineId, std::set<TaskRef>>& tasks_by_machine() const {
         return tasks_by_machine_.all();
     }
-    /// Whether any job that is not cancelled has pending tasks.
+    /// Returns whether any job that is not cancelled has pending tasks.
     [[nodiscard]] bool has_pending_tasks() const;
-    /// The zone that a one-zone job's next start must be in. While none of its tasks is on a machine, by
-    /// proof, any will do: the commit of its first start names the zone, on condition that no page shows a
-    /// task placed.
+    /// Returns the zone in which a one-zone job's next task must start; `std::nullopt` if any zone is
+    /// allowed. Any zone is allowed while no task of the job is placed and the job has few pages: the commit
+    /// of the first start then assigns the zone, with all pages in its preconditions.
     [[nodiscard]] std::optional<std::string> required_zone(const Job& job) const;
-    /// A job with more pages than this (frozen ones included) keeps to the zone assigned at its acceptance:
-    /// all pages are named in the preconditions of the commit that chooses another.
+    /// A one-zone job with more pages than this, including frozen ones, keeps the zone assigned when it was
+    /// accepted: a commit that changes the zone names all pages in its preconditions.
     static constexpr std::size_t max_pages_for_zone_change = 4;
-    /// How many pages the preconditions of a commit that chooses a job's zone name.
+    /// Returns how many pages a commit that changes the job's zone names in its preconditions.
     [[nodiscard]] std::size_t zone_change_page_count(const Job& job) const;
 
     // --- Pages ---
 
-    /// Tasks in a page of the standard size. Every version of the program derives the same from the settings.
+    /// Number of tasks per page of the standard size. Every version of the program derives the same number
+    /// from the settings.
     [[nodiscard]] std::uint32_t standard_page_size() const { return standard_page_size_; }
-    /// Tasks in a page whose record surely fits the strictest limits.
+    /// Number of tasks per page for which the record always fits the strictest configured limits.
     [[nodiscard]] std::uint32_t safe_page_size() const { return safe_page_size_; }
     [[nodiscard]] PageLayout layout(const Job& job) const { return {job, standard_page_size_}; }
     [[nodiscard]] std::uint32_t page_size(const Job& job) const { return layout(job).page_size(); }
@@ -99,80 +99,83 @@
     [[nodiscard]] static std::string page_key(const Job& job, std::uint32_t page) {
         return zincdyke::page_key(job, page);
     }
-    /// A page's tasks; all pending if it was never written.
+    /// Returns a page's tasks; all pending if the page was never written.
     [[nodiscard]] std::vector<TaskState> page_tasks(const Job& job, std::uint32_t page) const;
-    /// What a commit that changes the page has to name: its version, and while it was never written those of
-    /// the frozen pages that still hold its tasks.
+    /// Returns the preconditions of a commit that changes the page: the page's version and, if it is a small
+    /// page that was never written, the versions of the frozen pages that contain its tasks.
     [[nodiscard]] std::vector<Condition> page_conditions(const Job& job, std::uint32_t page) const;
-    /// Keys of all of a job's pages that were written, the frozen ones too.
+    /// Returns the keys of a job's pages that have a record, including frozen pages.
     [[nodiscard]] std::vector<std::string> written_page_keys(const Job& job) const;
-    /// A job's record. One that would be too large for the strictest limits names only the machine types that
-    /// exist.
+    /// Encodes a job's record. If the record exceeds the strictest value limit, its list of allowed machine
+    /// types is reduced to those that exist.
     [[nodiscard]] Json encode_job(const Job& job) const;
-    /// Pages whose job is over; their keys may be deleted.
+    /// Keys of page records without a job. They may be deleted once the whole state has been read.
     [[nodiscard]] const std::set<std::string>& orphaned_pages() const { return orphaned_pages_.keys(); }
 
     // --- Controllers ---
 
     [[nodiscard]] const std::vector<Shard>& shards() const { return membership_.shards(); }
-    /// The shard of a machine, by the hash of its name.
+    /// Returns the number of the shard that contains the machine, derived from a hash of the machine's name.
     [[nodiscard]] std::uint32_t shard_of(const MachineId& machine) const {
         return membership_.shard_of(machine);
     }
     [[nodiscard]] const std::map<NodeName, Revision>& live_nodes() const { return membership_.live_nodes(); }
-    /// Empty: there is none.
+    /// The controller that leads the autoscaler; empty if there is none.
     [[nodiscard]] const NodeName& autoscaler_leader() const { return membership_.autoscaler_leader(); }
     [[nodiscard]] Revision autoscaler_leader_version() const { return version(keys::autoscaler_leader); }
-    /// The format level that the fleet writes, as far as read; it never falls.
+    /// The format level of the records that all controllers write, as last read. Never decreases.
     [[nodiscard]] std::uint32_t fleet_format_level() const { return format_levels_.fleet_level(); }
-    /// The format level that each controller has registered to understand.
+    /// The highest format level that each controller has registered as supported.
     [[nodiscard]] const std::map<NodeName, std::uint32_t>& supported_format_levels() const {
         return format_levels_.supported_levels();
     }
 
     // --- Teams ---
 
-    /// What a team's placed tasks take, by the pages read so far. Whether that is all: `TeamLocks`.
+    /// Resources used by a team's placed tasks, according to the pages read so far. `TeamLocks` determines
+    /// whether that includes all of the team's tasks.
     [[nodiscard]] QuotaUsage quota_usage(const TeamName& team) const { return team_quotas_.usage(team); }
-    /// Whether so many more tasks keep to the team's limits; false for an unknown team.
-    [[nodiscard]] bool fits_team_quota(const TeamName& team, const Resources& need, TaskIndex tasks) const {
-        return team_quotas_.fits(team, need, tasks);
+    /// Returns whether `task_count` more tasks fit the team's limits; false for an unknown team.
+    [[nodiscard]] bool fits_team_quota(const TeamName& team, const Resources& need,
+                                       TaskIndex task_count) const {
+        return team_quotas_.fits(team, need, task_count);
     }
-    /// Null for a team that the settings don't name.
+    /// Returns the team's limits; null if the settings do not define the team.
     [[nodiscard]] const Team* team_limits(const TeamName& team) const { return team_quotas_.limits(team); }
-    /// The controller that holds the lock on a limited team's starts; empty: none yet.
+    /// Returns the controller that holds a team lock; empty if the lock was never acquired.
     [[nodiscard]] const NodeName& team_lock_holder(const TeamName& team) const {
         return team_quotas_.lock_holder(team);
     }
 
     // --- Machines ---
 
-    /// The cloud's machine types, as last listed.
+    /// The cloud's machine types, as last listed by the autoscaler's leader.
     [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
-    /// Null for a type that is not known.
+    /// Returns a machine type; null if the cloud does not have it.
     [[nodiscard]] const wire::MachineType* machine_type(const std::string& name) const;
-    /// Whether a machine with a cache of `cache_gb` holds the image, by the tasks placed on it.
+    /// Returns whether a machine with an image cache of `cache_gb` has the image, derived from the tasks
+    /// placed on it.
     [[nodiscard]] bool holds_image(const MachineId& machine, const std::string& image,
                                    double cache_gb) const {
         return images_.holds(machine, image, cache_gb);
     }
-    /// Calls `fn` with the name of each image that a machine's cache of `cache_gb` holds.
+    /// Calls `fn` with the name of each image that a machine with an image cache of `cache_gb` has.
     template <class Fn>
     void for_each_image(const MachineId& machine, double cache_gb, Fn fn) const {
         images_.for_each(machine, cache_gb, fn);
     }
 
   private:
-    void apply_membership(const keys::ParsedKey& key, const KeyUpdate& item);
-    void apply_format(const keys::ParsedKey& key, const KeyUpdate& item);
-    void apply_job(const JobId& id, const KeyUpdate& item);
+    void apply_membership(const keys::ParsedKey& key, const KeyUpdate& update);
+    void apply_format_level(const keys::ParsedKey& key, const KeyUpdate& update);
+    void apply_job(const JobId& id, const KeyUpdate& update);
     void remove_job(const JobId& id);
-    void apply_page(const keys::ParsedKey& key, const KeyUpdate& item);
-    void apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& item);
-    void apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& item);
+    void apply_page(const keys::ParsedKey& key, const KeyUpdate& update);
+    void apply_standard_page(Job& job, std::uint32_t page, const KeyUpdate& update);
+    void apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& update);
     void set_page(Job& job, std::uint32_t number, std::vector<TaskState> tasks, Revision version);
-    void move_task(const Job& job, TaskIndex task, const TaskState& before, const TaskState& after,
-                   Revision version);
+    void update_placement(const Job& job, TaskIndex task, const TaskState& before, const TaskState& after,
+                          Revision version);
 
     const Settings& settings_;
     StateObserver& observer_;
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -11,10 +11,10 @@
 namespace {
 constexpr Duration request_timeout = std::chrono::milliseconds(1500);
 constexpr Duration list_timeout = std::chrono::seconds(4);
-// An answer says that nothing was missed up to then: see CancellationWatermark.
-constexpr Duration watch_hold = std::chrono::seconds(2);
-// Beyond the time for which the store holds its answer.
-constexpr Duration watch_timeout = std::chrono::seconds(5);
+// Kept short because each response advances the cancellation watermark.
+constexpr Duration max_watch_wait = std::chrono::seconds(2);
+// Time allowed for a watch response in addition to the time for which the store may delay it.
+constexpr Duration watch_response_timeout = std::chrono::seconds(5);
 
 std::size_t value_bytes(const Write& write) { return write.value ? write.value->dump().size() : 0; }
 }  // namespace
@@ -24,8 +24,8 @@
 
 Duration StoreClient::unreachable_for() const { return queue_.reachability().unreachable_for(env_.now()); }
 
-void StoreClient::set_budget_share(double requests, double writes) {
-    queue_.budget().set_share(requests, writes);
+void StoreClient::set_budget_share(double request_share, double write_share) {
+    queue_.budget().set_share(request_share, write_share);
 }
 
 std::size_t StoreClient::available_writes() { return queue_.budget().available_writes(env_.now()); }
@@ -54,30 +54,31 @@
 void StoreClient::commit(const Transaction& txn, RequestPriority priority,
                          std::function<void(CommitResult)> done) {
     HttpRequest request = store_protocol::commit_request(txn);
-    // Kept for the log, should it be rejected for its size.
-    std::shared_ptr<const Transaction> large;
-    if (request.body.size() > settings_.strictest_limits.value_bytes() || !fits_operations(txn))
-        large = std::make_shared<Transaction>(txn);
+    // A copy of a transaction over the limits, for the log message if the store rejects it.
+    std::shared_ptr<const Transaction> oversized;
+    if (request.body.size() > settings_.strictest_limits.value_bytes() || !is_within_operation_limits(txn))
+        oversized = std::make_shared<Transaction>(txn);
     queue_.submit(priority, {std::move(request), static_cast<double>(txn.writes.size()), request_timeout,
-                             [this, large, done = std::move(done)](const HttpResponse& response) {
+                             [this, oversized, done = std::move(done)](const HttpResponse& response) {
                                  CommitResult result = store_protocol::parse_commit(response);
-                                 if (result.outcome == Outcome::invalid_request && large) on_rejected(*large);
+                                 if (result.outcome == Outcome::invalid_request && oversized)
+                                     log_rejected_transaction(*oversized);
                                  done(std::move(result));
                              }});
 }
 
-void StoreClient::watch(const std::string& prefix, Revision after, bool at_once,
+void StoreClient::watch(const std::string& prefix, Revision after, bool return_immediately,
                         std::function<void(ListResult)> done) {
-    const Duration hold = at_once ? Duration(0) : watch_hold;
-    queue_.send_watch(store_protocol::watch_request(prefix, after, hold),
-                      hold + (at_once ? request_timeout : watch_timeout),
+    const Duration max_wait = return_immediately ? Duration(0) : max_watch_wait;
+    queue_.send_watch(store_protocol::watch_request(prefix, after, max_wait),
+                      max_wait + (return_immediately ? request_timeout : watch_response_timeout),
                       [done = std::move(done)](const HttpResponse& response) {
                           done(store_protocol::parse_watch(response));
                       });
 }
 
-void StoreClient::grant_lease(Duration life, std::function<void(Outcome, std::uint64_t)> done) {
-    queue_.submit(RequestPriority::lease, {store_protocol::grant_lease_request(life), 0, request_timeout,
+void StoreClient::grant_lease(Duration lifetime, std::function<void(Outcome, std::uint64_t)> done) {
+    queue_.submit(RequestPriority::lease, {store_protocol::grant_lease_request(lifetime), 0, request_timeout,
                                            [done = std::move(done)](const HttpResponse& response) {
                                                const LeaseResult result =
                                                    store_protocol::parse_lease(response);
@@ -92,22 +93,22 @@
                                            }});
 }
 
-bool StoreClient::fits_operations(const Transaction& txn) const {
+bool StoreClient::is_within_operation_limits(const Transaction& txn) const {
     const StateLimits& limits = settings_.strictest_limits;
     return txn.writes.size() <= limits.txn_ops && txn.conditions.size() <= limits.conditions();
 }
 
 bool StoreClient::is_within_limits(const Transaction& txn) const {
     const std::size_t max_bytes = settings_.strictest_limits.value_bytes();
-    return fits_operations(txn) && std::all_of(txn.writes.begin(), txn.writes.end(), [&](const Write& write) {
-               return value_bytes(write) <= max_bytes;
-           });
+    return is_within_operation_limits(txn) &&
+           std::all_of(txn.writes.begin(), txn.writes.end(),
+                       [&](const Write& write) { return value_bytes(write) <= max_bytes; });
 }
 
-// The store took a transaction for malformed. Where it went over the limits, the log names what did.
-void StoreClient::on_rejected(const Transaction& txn) {
+// Logs which limits a transaction exceeded that the store rejected as malformed.
+void StoreClient::log_rejected_transaction(const Transaction& txn) {
     const StateLimits& limits = settings_.strictest_limits;
-    if (!fits_operations(txn))
+    if (!is_within_operation_limits(txn))
         log::error("event=commit_rejected writes={} conditions={} limit={}", txn.writes.size(),
                    txn.conditions.size(), limits.txn_ops);
     for (const Write& write : txn.writes) {
--- a/src/store/store_protocol.cpp
+++ b/src/store/store_protocol.cpp
@@ -5,7 +5,7 @@
 namespace zincdyke::store_protocol {
 namespace {
 
-constexpr int status_no_answer = 0;
+constexpr int status_no_response = 0;
 constexpr int status_ok = 200;
 constexpr int status_not_found = 404;
 constexpr int status_conflict = 409;
@@ -25,14 +25,14 @@
         case status_rate_limited:
         case status_unavailable:
             return Outcome::not_executed;
-        case status_no_answer:
+        case status_no_response:
             return Outcome::unknown;
         default:
             return status >= status_server_error ? Outcome::unknown : Outcome::invalid_request;
     }
 }
 
-// 0 where there is none.
+// Returns 0 if the field is missing or not an unsigned number.
 std::uint64_t number_in(const Json& body, const char* field) {
     const auto found = body.find(field);
     return found != body.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
@@ -40,21 +40,21 @@
 
 Revision revision_in(const Json& body, const char* field) { return Revision{number_in(body, field)}; }
 
-struct Answer {
+struct ParsedResponse {
     Outcome outcome;
-    Json body;  // an object; empty if the answer's can't be read
+    Json body;  // an object; empty if the response's body is malformed
 };
 
-Answer parse(const HttpResponse& response) {
-    Answer answer{outcome_of(response.status), Json::parse(response.body, nullptr, false)};
-    if (answer.body.is_object()) return answer;
-    answer.body = Json::object();
-    if (answer.outcome == Outcome::ok || answer.outcome == Outcome::conflict)
-        answer.outcome = Outcome::unknown;
-    return answer;
+ParsedResponse parse(const HttpResponse& response) {
+    ParsedResponse parsed{outcome_of(response.status), Json::parse(response.body, nullptr, false)};
+    if (parsed.body.is_object()) return parsed;
+    parsed.body = Json::object();
+    if (parsed.outcome == Outcome::ok || parsed.outcome == Outcome::conflict)
+        parsed.outcome = Outcome::unknown;
+    return parsed;
 }
 
-KeyUpdate change_in(Json& entry) {
+KeyUpdate parse_change(Json& entry) {
     KeyUpdate update;
     update.version = revision_in(entry, "stamp");
     if (entry.contains("set")) {
@@ -80,15 +80,15 @@
 HttpRequest get_request(const std::string& key) { return {"GET", "/store/" + key, ""}; }
 
 GetResult parse_get(const HttpResponse& response) {
-    const Answer answer = parse(response);
+    const ParsedResponse parsed = parse(response);
     GetResult result;
-    result.outcome = answer.outcome;
-    if (answer.outcome == Outcome::ok) {
-        result.version = revision_in(answer.body, "stamp");
-        result.value = answer.body.value("value", Json());
+    result.outcome = parsed.outcome;
+    if (parsed.outcome == Outcome::ok) {
+        result.version = revision_in(parsed.body, "stamp");
+        result.value = parsed.body.value("value", Json());
         if (result.version == Revision{}) result.outcome = Outcome::unknown;
-    } else if (answer.outcome == Outcome::not_found) {
-        result.version = revision_in(answer.body, "epoch");
+    } else if (parsed.outcome == Outcome::not_found) {
+        result.version = revision_in(parsed.body, "epoch");
     }
     return result;
 }
@@ -100,33 +100,33 @@
 }
 
 ListResult parse_list(const HttpResponse& response) {
-    const Answer answer = parse(response);
+    const ParsedResponse parsed = parse(response);
     ListResult result;
-    result.outcome = answer.outcome;
-    if (answer.outcome != Outcome::ok) return result;
-    result.revision = revision_in(answer.body, "epoch");
-    result.has_more = answer.body.value("has_next", false);
-    for (auto& entry : answer.body.value("items", Json::array()))
+    result.outcome = parsed.outcome;
+    if (parsed.outcome != Outcome::ok) return result;
+    result.revision = revision_in(parsed.body, "epoch");
+    result.has_more = parsed.body.value("has_next", false);
+    for (auto& entry : parsed.body.value("items", Json::array()))
         result.items.push_back(
             {entry.value("key", ""), std::move(entry["value"]), revision_in(entry, "stamp")});
     return result;
 }
 
-HttpRequest watch_request(const std::string& prefix, Revision after, Duration hold) {
+HttpRequest watch_request(const std::string& prefix, Revision after, Duration max_wait) {
     return {"GET",
             "/watch?prefix=" + prefix + "&after=" + std::to_string(after.value()) +
-                "&hold_ms=" + milliseconds(hold),
+                "&hold_ms=" + milliseconds(max_wait),
             ""};
 }
 
 ListResult parse_watch(const HttpResponse& response) {
-    const Answer answer = parse(response);
+    const ParsedResponse parsed = parse(response);
     ListResult result;
-    result.outcome = answer.outcome;
+    result.outcome = parsed.outcome;
     result.is_compacted = response.status == status_compacted;
-    if (answer.outcome != Outcome::ok) return result;
-    result.revision = revision_in(answer.body, "epoch");
-    for (auto& entry : answer.body.value("news", Json::array())) result.items.push_back(change_in(entry));
+    if (parsed.outcome != Outcome::ok) return result;
+    result.revision = revision_in(parsed.body, "epoch");
+    for (auto& entry : parsed.body.value("news", Json::array())) result.items.push_back(parse_change(entry));
     return result;
 }
 
@@ -139,28 +139,28 @@
 }
 
 CommitResult parse_commit(const HttpResponse& response) {
-    const Answer answer = parse(response);
+    const ParsedResponse parsed = parse(response);
     CommitResult result;
-    result.outcome = answer.outcome;
-    if (answer.outcome == Outcome::ok) {
-        result.revision = revision_in(answer.body, "epoch");
+    result.outcome = parsed.outcome;
+    if (parsed.outcome == Outcome::ok) {
+        result.revision = revision_in(parsed.body, "epoch");
         if (result.revision == Revision{}) result.outcome = Outcome::unknown;
-    } else if (answer.outcome == Outcome::conflict) {
-        for (const auto& key : answer.body.value("failed", Json::array()))
+    } else if (parsed.outcome == Outcome::conflict) {
+        for (const auto& key : parsed.body.value("failed", Json::array()))
             if (key.is_string()) result.failed_keys.push_back(key.get<std::string>());
     }
     return result;
 }
 
-HttpRequest grant_lease_request(Duration life) {
-    return {"POST", "/grants", Json{{"life_ms", life.count() / 1000}}.dump()};
+HttpRequest grant_lease_request(Duration lifetime) {
+    return {"POST", "/grants", Json{{"life_ms", lifetime.count() / 1000}}.dump()};
 }
 
 LeaseResult parse_lease(const HttpResponse& response) {
-    const Answer answer = parse(response);
-    const std::uint64_t id = number_in(answer.body, "tether");
-    if (answer.outcome == Outcome::ok && id == 0) return {Outcome::unknown, 0};
-    return {answer.outcome, id};
+    const ParsedResponse parsed = parse(response);
+    const std::uint64_t id = number_in(parsed.body, "tether");
+    if (parsed.outcome == Outcome::ok && id == 0) return {Outcome::unknown, 0};
+    return {parsed.outcome, id};
 }
 
 HttpRequest renew_lease_request(std::uint64_t lease) {
@@ -173,7 +173,7 @@
 HttpResponse rate_limited_response() { return {status_rate_limited, "", -1}; }
 bool is_rate_limited(const HttpResponse& response) { return response.status == status_rate_limited; }
 bool is_unavailable(const HttpResponse& response) {
-    return response.status == status_no_answer || response.status == status_unavailable;
+    return response.status == status_no_response || response.status == status_unavailable;
 }
 
 }  // namespace zincdyke::store_protocol
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -1,4 +1,4 @@
-/// What the key-value store is asked, and what it answers.
+/// Requests to the key-value store and their results.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,85 +12,91 @@
 
 using wire::Json;
 
-/// Who is served first when the budget runs short, the most urgent first.
+/// Priority of a request when the request budget is short, the most urgent first.
 enum class RequestPriority : std::uint8_t {
-    lease,     ///< sessions, their records and leaderships, and reading the state
-    report,    ///< what workers told, and what is needed to commit it
-    decision,  ///< commits of placements
-    user       ///< answers to users
+    lease,     ///< session leases, records of nodes, leaders and machine types, lists of the state
+    report,    ///< commits of task ends that workers reported, of job records, team locks and format levels
+    decision,  ///< commits of placements and of relay changes
+    user       ///< requests on behalf of users, and deletions of orphaned pages
 };
 constexpr std::size_t priority_count = 4;
 
-/// What became of a request.
+/// Result of a request to the key-value store.
 enum class Outcome : std::uint8_t {
-    /// Carried out.
+    /// The request was executed.
     ok,
-    /// Not carried out: a precondition did not hold.
+    /// The transaction was not executed because a precondition was not met.
     conflict,
-    /// Read, and there is no such record; or a lease that has expired.
+    /// The record does not exist, or the lease has expired.
     not_found,
-    /// Not carried out: the budget, or a queue, was full, or the store said 429 or 503. May be sent again.
+    /// The request was not executed: this node did not send it for lack of budget or because the store is
+    /// unreachable, or the store responded with status 429 or 503. It may be retried.
     not_executed,
-    /// No answer, or none that can be read: may have been carried out, or may be yet. Only a read,
-    /// or sending it again under the same preconditions, tells.
+    /// No valid response was received. The request may have been executed or may still be executed later;
+    /// only a read, or a retry with the same preconditions, can find out.
     unknown,
-    /// Not carried out: the store takes it for malformed (400 and the like). Sent again it fares no better.
+    /// The store rejected the request as malformed (status 400 and other 4xx). A retry would fail as well.
     invalid_request
 };
 
-/// A precondition of a transaction: the key's record has this version; 0: there is none.
+/// A precondition of a transaction: the key's record has this version, or does not exist if `version` is 0.
 struct Condition {
     std::string key;
     Revision version;
 };
-/// Sets or deletes one record.
+/// A write of a transaction, which sets or deletes one record.
 struct Write {
     std::string key;
-    /// Nothing: delete.
+    /// The record's new value; `std::nullopt` if the write deletes the record.
     std::optional<Json> value;
-    /// The store's lease whose end deletes the record.
+    /// The store's lease that the record is attached to: the store deletes the record when the lease expires.
+    /// `std::nullopt` if the record does not expire.
     std::optional<std::uint64_t> lease_id;
 };
-/// Writes that are carried out together, or not at all unless every precondition holds (compare-and-swap).
+/// Writes that the store executes atomically, and only if all preconditions are met (compare-and-swap).
 struct Transaction {
     std::vector<Condition> conditions;
     std::vector<Write> writes;
 };
+/// Result of a transaction.
 struct CommitResult {
     Outcome outcome = Outcome::unknown;
-    /// Ok: the version of all records that were written.
+    /// The version of all records that the transaction wrote; 0 unless the outcome is `ok`.
     Revision revision;
-    /// Conflict: the keys whose preconditions did not hold, as far as the store names them.
+    /// The keys whose preconditions were not met, if the outcome is `conflict`. May be incomplete or empty.
     std::vector<std::string> failed_keys;
 };
-// NOLINTNEXTLINE(bugprone-exception-escape): Json's move, which is noexcept, is taken to throw.
+/// Result of reading one record.
+// NOLINTNEXTLINE(bugprone-exception-escape): the linter assumes that Json's move may throw; it is noexcept.
 struct GetResult {
     Outcome outcome = Outcome::unknown;
     Json value;
-    /// Ok: of the record. Not found: the store's revision at which it had none.
+    /// The record's version if the outcome is `ok`; if it is `not_found`, the store's revision at the read.
     Revision version;
 };
-/// What was read under a key, by whichever way.
+/// The value and version of a key, as read from a list, a watch or a commit's result.
 struct KeyUpdate {
     std::string key;
-    /// Nothing: deleted.
+    /// The record's value; `std::nullopt` if the record was deleted.
     std::optional<Json> value;
     Revision version;
 };
+/// Result of a list or a watch.
 struct ListResult {
     Outcome outcome = Outcome::unknown;
     std::vector<KeyUpdate> items;
-    /// The list goes on after the last item.
+    /// Whether the list has further records after the last item.
     bool has_more = false;
-    /// Of a watch: the store no longer keeps the changes from the revision asked for; the state is to be
-    /// listed anew.
+    /// Whether a watch failed because the store has discarded changes after the requested revision; the
+    /// caller must list all records again.
     bool is_compacted = false;
-    /// The store's revision that the answer reflects.
+    /// The store's revision that the items reflect.
     Revision revision;
 };
+/// Result of requesting a lease.
 struct LeaseResult {
     Outcome outcome = Outcome::unknown;
-    /// The store's id of the lease; 0 unless ok.
+    /// The store's id of the lease; 0 unless the outcome is `ok`.
     std::uint64_t id = 0;
 };
 
--- a/src/store/tasks_by_machine.h
+++ b/src/store/tasks_by_machine.h
@@ -1,4 +1,4 @@
-/// Index: which tasks are placed on each machine.
+/// Index of the tasks placed on each machine.
 #pragma once
 #include <set>
 #include <unordered_map>
@@ -7,15 +7,15 @@
 
 namespace zincdyke {
 
-/// The placed tasks of every machine that has any.
+/// Maps each machine to its placed tasks; machines without placed tasks have no entry.
 class TasksByMachine {
   public:
     void add(const MachineId& machine, const TaskRef& task) { tasks_[machine].insert(task); }
     void remove(const MachineId& machine, const TaskRef& task);
     void clear() { tasks_.clear(); }
-    /// Empty for a machine without tasks.
+    /// Returns the tasks placed on the machine; an empty set if there are none.
     [[nodiscard]] const std::set<TaskRef>& tasks_on(const MachineId& machine) const;
-    /// Machines without tasks are left out.
+    /// All machines that have placed tasks, with those tasks.
     [[nodiscard]] const std::unordered_map<MachineId, std::set<TaskRef>>& all() const { return tasks_; }
 
   private:
--- a/src/store/team_quotas.cpp
+++ b/src/store/team_quotas.cpp
@@ -4,11 +4,11 @@
 
 namespace zincdyke {
 
-void TeamQuotas::add_placed(const TeamName& team, const Resources& need, std::int64_t tasks) {
-    if (tasks == 0) return;
+void TeamQuotas::add_placed(const TeamName& team, const Resources& need, std::int64_t task_count) {
+    if (task_count == 0) return;
     QuotaUsage& usage = usage_[team];
-    usage.cpu += tasks * need.cpu;
-    usage.gpu += tasks * need.gpu;
+    usage.cpu += task_count * need.cpu;
+    usage.gpu += task_count * need.gpu;
 }
 
 void TeamQuotas::set_lock_holder(const TeamName& team, NodeName holder) {
@@ -30,13 +30,13 @@
     return found != usage_.end() ? found->second : QuotaUsage{};
 }
 
-bool TeamQuotas::fits(const TeamName& team, const Resources& need, TaskIndex tasks) const {
-    const Team* const limit = limits(team);
-    if (limit == nullptr) return false;
+bool TeamQuotas::fits(const TeamName& team, const Resources& need, TaskIndex task_count) const {
+    const Team* const quota = limits(team);
+    if (quota == nullptr) return false;
     const QuotaUsage used = usage(team);
-    const auto count = static_cast<std::int64_t>(tasks);
-    return (limit->cpu_max == 0 || used.cpu + need.cpu * count <= limit->cpu_max) &&
-           (limit->gpu_max == 0 || used.gpu + need.gpu * count <= limit->gpu_max);
+    const auto count = static_cast<std::int64_t>(task_count);
+    return (quota->cpu_max == 0 || used.cpu + need.cpu * count <= quota->cpu_max) &&
+           (quota->gpu_max == 0 || used.gpu + need.gpu * count <= quota->gpu_max);
 }
 
 const NodeName& TeamQuotas::lock_holder(const TeamName& team) const {
--- a/src/store/team_quotas.h
+++ b/src/store/team_quotas.h
@@ -1,4 +1,4 @@
-/// Index: what each team's placed tasks use of its quota, and who holds the lock on its starts.
+/// Index of the quota usage and the team lock of each team.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -8,28 +8,31 @@
 
 namespace zincdyke {
 
-/// What a team's placed tasks take, in thousandths of a CPU and of a GPU.
+/// Resources used by a team's placed tasks, in thousandths of a CPU and of a GPU.
 struct QuotaUsage {
     std::int64_t cpu = 0, gpu = 0;
 };
 
-/// Limits (from the settings), usage and lock holders of the teams.
+/// Resource limits of teams (from the settings), their usage, and the controllers that hold their team locks.
 class TeamQuotas {
   public:
-    /// `settings` must outlive this.
+    /// `settings` must outlive this object.
     explicit TeamQuotas(const Settings& settings) : settings_(settings) {}
 
-    /// Counts tasks that came (or, below 0, went), each of which takes `need`.
-    void add_placed(const TeamName& team, const Resources& need, std::int64_t tasks);
+    /// Adds `task_count` placed tasks to the team's usage, each of which uses `need`. A negative count
+    /// removes tasks.
+    void add_placed(const TeamName& team, const Resources& need, std::int64_t task_count);
     void set_lock_holder(const TeamName& team, NodeName holder);
+    /// Removes all usage and lock holders.
     void clear();
 
-    /// Null for a team that the settings don't name.
+    /// Returns the team's limits; null if the settings do not define the team.
     [[nodiscard]] const Team* limits(const TeamName& team) const;
+    /// Returns the usage of the team's placed tasks; 0 for an unknown team.
     [[nodiscard]] QuotaUsage usage(const TeamName& team) const;
-    /// Whether so many more tasks keep to the team's limits; false for an unknown team.
-    [[nodiscard]] bool fits(const TeamName& team, const Resources& need, TaskIndex tasks) const;
-    /// Empty: none yet.
+    /// Returns whether `task_count` more tasks fit the team's limits; false for an unknown team.
+    [[nodiscard]] bool fits(const TeamName& team, const Resources& need, TaskIndex task_count) const;
+    /// Returns the controller that holds the team lock; empty if the lock was never acquired.
     [[nodiscard]] const NodeName& lock_holder(const TeamName& team) const;
 
   private:
--- a/src/store/token_bucket.cpp
+++ b/src/store/token_bucket.cpp
@@ -3,7 +3,7 @@
 namespace zincdyke {
 namespace {
 constexpr Duration min_wait = std::chrono::milliseconds(2);
-constexpr double rounding_error = 1e-9;
+constexpr double rounding_tolerance = 1e-9;
 }  // namespace
 
 void TokenBucket::refill(SteadyTime now) {
@@ -13,7 +13,7 @@
 
 bool TokenBucket::refill_and_check(SteadyTime now, double amount) {
     refill(now);
-    return tokens_ >= std::min(amount, rate_) - rounding_error;
+    return tokens_ >= std::min(amount, rate_) - rounding_tolerance;
 }
 
 Duration TokenBucket::time_until(double amount) const {
--- a/src/store/token_bucket.h
+++ b/src/store/token_bucket.h
@@ -1,4 +1,4 @@
-/// A budget of so many units a second.
+/// A token bucket that limits the rate at which units are spent.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -7,25 +7,25 @@
 
 namespace zincdyke {
 
-/// Allows `rate` units a second, in bursts of one second's worth; full at first use. Refilled by
-/// `refill_and_check`, whose moments must not go back.
+/// Limits spending to `rate()` units per second, with a capacity of one second's worth. The bucket is full at
+/// its first refill. The times passed to its functions must not decrease.
 class TokenBucket {
   public:
-    /// `per_s`: above 0. What has been saved up stays.
-    void set_rate(double per_s) { rate_ = per_s; }
+    /// Sets the number of units per second, which must be above 0. Keeps the tokens in the bucket.
+    void set_rate(double units_per_s) { rate_ = units_per_s; }
     [[nodiscard]] double rate() const { return rate_; }
-    /// Refills the bucket, and tells whether `amount` may be taken now. A larger amount than the bucket holds
-    /// may be taken when it is full, and leaves a debt.
+    /// Refills the bucket and returns whether `amount` may be taken now. An amount above the bucket's
+    /// capacity may be taken when the bucket is full, and leaves a negative balance.
     [[nodiscard]] bool refill_and_check(SteadyTime now, double amount);
-    /// Refills the bucket without asking for anything.
+    /// Adds the tokens earned since the last refill, up to the bucket's capacity.
     void refill(SteadyTime now);
-    /// Doesn't refill, and may leave a debt.
+    /// Takes `amount` tokens without a refill or a check; the balance may become negative.
     void take(double amount) { tokens_ -= amount; }
-    /// What was saved up is gone: the other side counts differently. A debt stays.
+    /// Discards the tokens in the bucket. A negative balance stays.
     void drain() { tokens_ = std::min(tokens_, 0.0); }
-    /// Below 0: a debt.
+    /// The current balance; negative if more was taken than the bucket held.
     [[nodiscard]] double tokens() const { return tokens_; }
-    /// How long after the last refill `amount` may be taken; at least 2 ms.
+    /// Returns how long after the last refill `amount` may be taken; at least 2 ms.
     [[nodiscard]] Duration time_until(double amount) const;
 
   private:
