--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -14,9 +14,9 @@
 
 Json format_state(const StateCache& state_cache, const FormatLevel& format_level) {
     Json waiting_for = Json::array();
-    for (const auto& node : format_level.waiting_for()) waiting_for.push_back(node.value());
+    for (const auto& node : format_level.unregistered_nodes()) waiting_for.push_back(node.value());
     return {{"level", state_cache.format_level()},
-            {"known", FormatLevel::highest_known},
+            {"known", FormatLevel::highest_supported},
             {"waiting_for", std::move(waiting_for)}};
 }
 
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -49,7 +49,7 @@
     const std::size_t clearable = preemptor_.make_room(bins, waiting, spec, reservation);
     // While tasks of the class wait, nobody else uses its machines, however soon it would yield: of a machine
     // being cleared, the first half that came free was taken again before the second was.
-    if (waiting > 0) reservation.save_s = 0;
+    if (waiting > 0) reservation.max_save_s = 0;
     for (const auto& [rating, bin] : bins) {
         bin->reserved = reservation;
         reserved[bin->id] = reservation;
--- a/src/autoscaler/class_reservations.h
+++ b/src/autoscaler/class_reservations.h
@@ -13,7 +13,7 @@
 #include "autoscaler/preemption.h"
 #include "base/settings.h"
 #include "policy/policy.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/state_cache.h"
 
 namespace zincdyke::autoscaler {
--- a/src/autoscaler/gang_reservations.h
+++ b/src/autoscaler/gang_reservations.h
@@ -10,8 +10,8 @@
 #include "autoscaler/plan.h"
 #include "autoscaler/preemption.h"
 #include "base/settings.h"
-#include "sched/logic.h"
 #include "sched/placement_constraints.h"
+#include "sched/placement_rules.h"
 #include "store/state_cache.h"
 
 namespace zincdyke::autoscaler {
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <utility>
 
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 namespace zincdyke::autoscaler {
 namespace {
--- a/src/autoscaler/plan.h
+++ b/src/autoscaler/plan.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "wire/json_api.h"
 
 namespace zincdyke::autoscaler {
--- a/src/autoscaler/preemption.h
+++ b/src/autoscaler/preemption.h
@@ -12,7 +12,7 @@
 #include "base/env.h"
 #include "cluster/peer_channel.h"
 #include "policy/policy.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/state_cache.h"
 
 namespace zincdyke::autoscaler {
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -48,7 +48,8 @@
         auto leader = by_leader.find(state_cache_.shards()[state_cache_.shard_of(id)].leader);
         if (leader == by_leader.end()) continue;
         leader->second.push_back({id, reservation.job_class, reservation.rank,
-                                  static_cast<std::uint32_t>(reservation.save_s * 1000), reservation.job});
+                                  static_cast<std::uint32_t>(reservation.max_save_s * 1000),
+                                  reservation.job});
     }
     for (auto& [node, machines] : by_leader) {
         wire::ReservationUpdate message;
--- a/src/cluster/autoscaler_election.cpp
+++ b/src/cluster/autoscaler_election.cpp
@@ -15,13 +15,12 @@
 
 bool AutoscalerElection::is_won() const { return state_cache_.autoscaler_leader() == settings_.node; }
 
-void AutoscalerElection::review(std::uint64_t session_lease) {
+void AutoscalerElection::campaign_if_vacant(std::uint64_t session_lease) {
     const NodeName& leader = state_cache_.autoscaler_leader();
-    if (state_ == State::idle && (leader.empty() || !membership_.is_live(leader)))
-        run_for_leader(session_lease);
+    if (state_ == State::idle && (leader.empty() || !membership_.is_live(leader))) campaign(session_lease);
 }
 
-void AutoscalerElection::run_for_leader(std::uint64_t session_lease) {
+void AutoscalerElection::campaign(std::uint64_t session_lease) {
     state_ = State::awaiting_result;
     Transaction txn;
     txn.conditions.push_back({keys::autoscaler_leader, state_cache_.version(keys::autoscaler_leader)});
--- a/src/cluster/autoscaler_election.h
+++ b/src/cluster/autoscaler_election.h
@@ -22,7 +22,7 @@
 
     /// Runs for leader if none is alive. `session_lease` is the lease of this node's session. To be called
     /// regularly, while the state cache is up to date and the session is open.
-    void review(std::uint64_t session_lease);
+    void campaign_if_vacant(std::uint64_t session_lease);
     /// The record names this node. Whether it may act on that, its session and its view decide.
     [[nodiscard]] bool is_won() const;
 
@@ -34,7 +34,7 @@
         // no leader still.
         cooling_down
     };
-    void run_for_leader(std::uint64_t session_lease);
+    void campaign(std::uint64_t session_lease);
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -15,7 +15,7 @@
       write_budget_share_(settings, store, state_cache, membership_),
       state_watcher_(env, settings, store, state_cache, membership_, observer,
                      [this] { on_membership_changed(); }),
-      session_keeper_(env, settings, store, state_cache, [this] { state_watcher_.distrust(); }),
+      session_keeper_(env, settings, store, state_cache, [this] { state_watcher_.invalidate(); }),
       shard_leadership_(env, settings, store, state_cache, membership_, observer,
                         [this] { on_membership_changed(); }),
       autoscaler_election_(env, settings, store, state_cache, membership_) {}
@@ -51,9 +51,9 @@
     if (!is_up_to_date() || !session_keeper_.is_open()) return;
     // A commit of an earlier process of this node, held and carried out late, may have tied our record to a
     // lease that then expired.
-    if (!is_live(settings_.node)) return session_keeper_.register_again();
-    shard_leadership_.review(incarnation());
-    autoscaler_election_.review(session_keeper_.lease());
+    if (!is_live(settings_.node)) return session_keeper_.restore_record();
+    shard_leadership_.claim_shards(incarnation());
+    autoscaler_election_.campaign_if_vacant(session_keeper_.lease_id());
 }
 
 }  // namespace zincdyke
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -43,7 +43,7 @@
     /// Calls back, from the loop, once the state cache holds all that was committed before this call: one
     /// read of the store serves all who asked before it was sent. False when there was no answer within 1.7
     /// s, or none is to be had.
-    void read_through(PendingReads::Callback done) { state_watcher_.read_through(std::move(done)); }
+    void await_fresh_state(PendingReads::Callback done) { state_watcher_.await_fresh_state(std::move(done)); }
 
     /// This node's term of a shard that it leads, as far as it knows.
     [[nodiscard]] std::optional<Term> term(std::uint32_t shard) const {
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -29,12 +29,12 @@
 
 void FormatLevel::start() { review(); }
 
-std::vector<NodeName> FormatLevel::waiting_for() const {
+std::vector<NodeName> FormatLevel::unregistered_nodes() const {
     std::vector<NodeName> missing;
-    if (state_cache_.format_level() >= highest_known) return missing;
+    if (state_cache_.format_level() >= highest_supported) return missing;
     for (const auto& node : all_nodes_) {
         const auto known = state_cache_.known_formats().find(node);
-        if (known == state_cache_.known_formats().end() || known->second < highest_known)
+        if (known == state_cache_.known_formats().end() || known->second < highest_supported)
             missing.push_back(node);
     }
     return missing;
@@ -42,17 +42,17 @@
 
 void FormatLevel::review() {
     env_.after(review_interval, [this] { review(); });
-    if (!cluster_.is_up_to_date() || is_commit_under_way_ || state_cache_.format_level() >= highest_known)
+    if (!cluster_.is_up_to_date() || is_commit_under_way_ || state_cache_.format_level() >= highest_supported)
         return;
-    const auto missing = waiting_for();
+    const auto missing = unregistered_nodes();
     if (std::find(missing.begin(), missing.end(), settings_.node) != missing.end())
-        return commit_level(keys::known_format(settings_.node), highest_known, "format_registered");
+        return commit_level(keys::known_format(settings_.node), highest_supported, "format_registered");
     if (missing.size() != logged_missing_count_)
         log::info("event=format_level_waits for={}", joined(missing));
     logged_missing_count_ = missing.size();
     // One node is enough; any may do it, and again: the commit names the version that was seen.
     if (missing.empty() && pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
-        commit_level(keys::format_level, highest_known, "format_level_raised");
+        commit_level(keys::format_level, highest_supported, "format_level_raised");
 }
 
 // Without an answer it may have been carried out or not; the watch tells, and a repeat names the same
--- a/src/cluster/format_level.h
+++ b/src/cluster/format_level.h
@@ -24,7 +24,7 @@
     /// Level 0: production's records. Level 1: a job's record may name smaller pages.
     static constexpr std::uint32_t small_pages = 1;
     /// The level that this version registers.
-    static constexpr std::uint32_t highest_known = small_pages;
+    static constexpr std::uint32_t highest_supported = small_pages;
 
     /// All must outlive this object.
     FormatLevel(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
@@ -32,7 +32,7 @@
     /// Begins to register and to review, on the event loop; to be called once.
     void start();
     /// The nodes that have not registered yet, for which the level waits; none once it has risen.
-    [[nodiscard]] std::vector<NodeName> waiting_for() const;
+    [[nodiscard]] std::vector<NodeName> unregistered_nodes() const;
 
   private:
     void review();
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -21,7 +21,7 @@
     return peers;
 }
 
-std::size_t Membership::budget_shares() const {
+std::size_t Membership::budget_node_count() const {
     return std::max<std::size_t>(1, state_cache_.live_nodes().size());
 }
 
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -22,7 +22,7 @@
     /// The live nodes without this one.
     [[nodiscard]] std::vector<NodeName> live_peers() const;
     /// How many nodes share the budgets: the live ones, at least one.
-    [[nodiscard]] std::size_t budget_shares() const;
+    [[nodiscard]] std::size_t budget_node_count() const;
 
   private:
     const Settings& settings_;
--- a/src/cluster/pending_reads.cpp
+++ b/src/cluster/pending_reads.cpp
@@ -14,7 +14,7 @@
 
 bool PendingReads::is_full() const { return reads_.size() >= max_pending_reads; }
 
-void PendingReads::answer_below(std::uint64_t end) {
+void PendingReads::complete_before(std::uint64_t end) {
     while (!reads_.empty() && reads_.front().number < end) finish_oldest(true);
 }
 
--- a/src/cluster/pending_reads.h
+++ b/src/cluster/pending_reads.h
@@ -20,9 +20,9 @@
     [[nodiscard]] bool empty() const { return reads_.empty(); }
     [[nodiscard]] bool is_full() const;
     /// To be taken when the store is asked: its answer serves the reads numbered below this.
-    [[nodiscard]] std::uint64_t next_number() const { return next_number_; }
+    [[nodiscard]] std::uint64_t next_read_number() const { return next_number_; }
     /// Calls back all reads numbered below `end`. They may add further ones.
-    void answer_below(std::uint64_t end);
+    void complete_before(std::uint64_t end);
     /// Calls back, as not fresh, what has waited for too long.
     void expire(SteadyTime now);
 
--- a/src/cluster/session_keeper.cpp
+++ b/src/cluster/session_keeper.cpp
@@ -88,7 +88,7 @@
     });
 }
 
-void SessionKeeper::register_again() {
+void SessionKeeper::restore_record() {
     set_record_missing();
     write_record();
 }
--- a/src/cluster/session_keeper.h
+++ b/src/cluster/session_keeper.h
@@ -23,12 +23,12 @@
     /// Asks for the first lease; to be called once.
     void start();
     /// Writes this node's record again although the session is open: a late message removed it.
-    void register_again();
+    void restore_record();
 
     /// The record is written under the present lease, as far as this node knows.
     [[nodiscard]] bool is_open() const;
     /// The present lease, or the last one while another is asked for; 0 before the first.
-    [[nodiscard]] std::uint64_t lease() const { return lease_id_; }
+    [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
     /// Unique to this process among all that ever ran: the revision of its first session; 0 before it.
     [[nodiscard]] Revision incarnation() const { return incarnation_; }
 
--- a/src/cluster/shard_leadership.cpp
+++ b/src/cluster/shard_leadership.cpp
@@ -46,12 +46,12 @@
     }
 }
 
-void ShardLeadership::review(Revision incarnation) {
+void ShardLeadership::claim_shards(Revision incarnation) {
     const auto live_nodes = membership_.live_nodes();
     for (std::uint32_t shard = 0; shard < local_.size(); ++shard) {
         if (term(shard)) continue;
         forget_old_transfer(shard);
-        if (should_lead(shard, live_nodes) && !is_claim_unread(shard) &&
+        if (should_lead(shard, live_nodes) && !is_claim_awaiting_watch(shard) &&
             local_[shard].record_write == RecordWrite::none)
             claim(shard, incarnation);
     }
@@ -77,7 +77,7 @@
 }
 
 // A claim just won is in the cache only when the watch brings it.
-bool ShardLeadership::is_claim_unread(std::uint32_t shard) const {
+bool ShardLeadership::is_claim_awaiting_watch(std::uint32_t shard) const {
     return local_[shard].claimed && *local_[shard].claimed > state_cache_.version(keys::shard(shard));
 }
 
--- a/src/cluster/shard_leadership.h
+++ b/src/cluster/shard_leadership.h
@@ -28,7 +28,7 @@
 
     /// Claims what this controller ought to lead. To be called regularly, while the state cache is up to date
     /// and the session is open. `incarnation` is this process's: it goes into the records.
-    void review(Revision incarnation);
+    void claim_shards(Revision incarnation);
     /// Names another live controller leader of the shard; does nothing if there is none. That one then claims
     /// the shard under a term of its own. To be called while the state cache is up to date.
     void transfer(std::uint32_t shard, Revision incarnation);
@@ -48,7 +48,7 @@
     };
     void forget_old_transfer(std::uint32_t shard);
     [[nodiscard]] bool should_lead(std::uint32_t shard, const std::vector<NodeName>& live_nodes) const;
-    [[nodiscard]] bool is_claim_unread(std::uint32_t shard) const;
+    [[nodiscard]] bool is_claim_awaiting_watch(std::uint32_t shard) const;
     void claim(std::uint32_t shard, Revision incarnation);
     void write_leader(std::uint32_t shard, const NodeName& leader, Revision incarnation,
                       std::function<void(CommitResult)> done);
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -49,7 +49,7 @@
     reads_.expire(now);
     if (view_.is_list_under_way()) return;
     if (!store_.reachable() || has_stalled) {
-        view_.on_doubt();
+        view_.on_invalidated();
     } else if (view_.begin_catch_up()) {
         // The watch under way may hang in a cut that is over: a new one is answered at once.
         ++watch_generation_;
@@ -102,7 +102,7 @@
 // request budget: at a fixed 30 ms those of seven nodes took most of it.
 Duration StateWatcher::watch_pause() const {
     const double pause_s =
-        static_cast<double>(membership_.budget_shares()) / (settings_.state_rps * watch_budget_share);
+        static_cast<double>(membership_.budget_node_count()) / (settings_.state_rps * watch_budget_share);
     return std::clamp(seconds(pause_s), min_watch_pause, max_watch_pause);
 }
 
@@ -119,7 +119,7 @@
     store_.watch(std::string(keys::watched_prefix), state_cache_.applied_revision,
                  !view_.is_current() || has_reads,
                  [this, generation = watch_generation_, sent = env_.now(), has_reads,
-                  reads_end = reads_.next_number()](const ListResult& result) {
+                  reads_end = reads_.next_read_number()](const ListResult& result) {
                      if (generation == watch_generation_)
                          on_watch_answered(result, sent, has_reads, reads_end);
                  });
@@ -138,7 +138,7 @@
     watch_failures_ = 0;
     apply(result, sent);
     if (was_catching_up) view_.on_caught_up();
-    reads_.answer_below(reads_end);
+    reads_.complete_before(reads_end);
     watch_after(result.items.empty() && !has_reads ? millis(1) : watch_pause());
 }
 
@@ -150,7 +150,7 @@
 
 // Asked one by one, the questions of some hundred users took the whole request budget of the store, and most
 // of them were never answered.
-void StateWatcher::read_through(PendingReads::Callback done) {
+void StateWatcher::await_fresh_state(PendingReads::Callback done) {
     if (!is_up_to_date() || reads_.is_full()) {
         env_.after(Duration(0), [done = std::move(done)] { done(false); });
         return;
@@ -175,10 +175,10 @@
     store_.watch(
         std::string(keys::watched_prefix), state_cache_.applied_revision, true,
         [this, generation = watch_generation_, sent = env_.now(),
-         reads_end = reads_.next_number()](const ListResult& result) {
+         reads_end = reads_.next_read_number()](const ListResult& result) {
             if (generation == watch_generation_ && result.outcome == Outcome::ok && !result.is_compacted) {
                 apply(result, sent);
-                reads_.answer_below(reads_end);
+                reads_.complete_before(reads_end);
             }
             if (!reads_.empty()) schedule_read();
         });
--- a/src/cluster/state_watcher.h
+++ b/src/cluster/state_watcher.h
@@ -27,9 +27,9 @@
     /// Begins to read; to be called once.
     void start();
     /// Nothing is decided on what is known until the store has been read again.
-    void distrust() { view_.on_doubt(); }
-    /// See ClusterCoordinator::read_through.
-    void read_through(PendingReads::Callback done);
+    void invalidate() { view_.on_invalidated(); }
+    /// See ClusterCoordinator::await_fresh_state.
+    void await_fresh_state(PendingReads::Callback done);
 
     [[nodiscard]] bool is_loaded() const { return view_.is_loaded(); }
     /// See ClusterCoordinator::is_up_to_date.
--- a/src/cluster/view_state.h
+++ b/src/cluster/view_state.h
@@ -33,7 +33,7 @@
         if (state_ != State::loading) state_ = State::reloading;
     }
     /// What is known may be out of date by now. A list under way will make up for it.
-    void on_doubt() {
+    void on_invalidated() {
         if (!is_list_under_way()) state_ = State::stale;
     }
     /// Whether a watch must be sent to catch up: a stale view for which none is under way.
--- a/src/cluster/write_budget_share.cpp
+++ b/src/cluster/write_budget_share.cpp
@@ -27,7 +27,7 @@
 }
 
 void WriteBudgetShare::on_membership_changed() {
-    const double even_share = 1.0 / static_cast<double>(membership_.budget_shares());
+    const double even_share = 1.0 / static_cast<double>(membership_.budget_node_count());
     store_.set_budget_share(even_share, write_share_ > 0 ? write_share_ : even_share);
 }
 
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/records.h"
 
 namespace zincdyke {
@@ -105,7 +105,7 @@
 // came is no older than what any node has told of the job. One that is not there then is over, or was never
 // accepted: its final record tells.
 void JobsApi::get(const JobId& id, const Reply& reply) {
-    cluster_.read_through([this, id, reply](bool is_fresh) {
+    cluster_.await_fresh_state([this, id, reply](bool is_fresh) {
         if (!is_fresh) return reply(try_later());
         if (const Job* job = state_cache_.job(id); job != nullptr)
             return reply(live_answer(id, job->cancelled));
--- a/src/jobs/operation_rules.cpp
+++ b/src/jobs/operation_rules.cpp
@@ -1,7 +1,7 @@
 #include "jobs/operation_rules.h"
 
 #include "jobs/commit_limits.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "sched/spread.h"
 
 namespace zincdyke {
@@ -31,7 +31,8 @@
 bool zone_has_room(const StateCache& state_cache, const Job& job, const std::vector<TaskState>& tasks,
                    std::uint32_t page, const std::string& zone) {
     const bool is_known = job.small_page_size == 0 || state_cache.applied_revision >= job.version;
-    return is_known && sched::every_page_spread(job) && sched::zone_has_room(tasks, page, zone);
+    return is_known && sched::all_pages_within_zone_limit(job) &&
+           sched::is_below_zone_limit(tasks, page, zone);
 }
 
 }  // namespace
--- a/src/jobs/placement_gatherer.cpp
+++ b/src/jobs/placement_gatherer.cpp
@@ -55,9 +55,9 @@
     counts_.decision_ms += static_cast<std::uint64_t>((env_.now() - round.first_response).count() / 1000);
     const Job* job = state_cache_.job(round.job);
     std::optional<TaskIndex> max_per_zone;
-    if (job != nullptr && job->spec.spread) max_per_zone = sched::spread_limit(job->spec.tasks);
-    auto accepted = sched::choose(std::move(round.offers), round.tasks, round.is_gang, max_per_zone,
-                                  env_.rng(), job != nullptr && job->spec.one_zone);
+    if (job != nullptr && job->spec.spread) max_per_zone = sched::max_tasks_per_zone(job->spec.tasks);
+    auto accepted = sched::choose_offers(std::move(round.offers), round.tasks, round.is_gang, max_per_zone,
+                                         env_.rng(), job != nullptr && job->spec.one_zone);
     round.offers.clear();
     std::set<TaskIndex> failed(round.tasks.begin(), round.tasks.end());
     for (const auto& scorer : round.responded) {
--- a/src/jobs/placement_gatherer.h
+++ b/src/jobs/placement_gatherer.h
@@ -7,7 +7,7 @@
 
 #include "base/env.h"
 #include "cluster/peer_channel.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/state_cache.h"
 #include "wire/peer_messages.h"
 
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "cluster/rendezvous_hash.h"
 #include "jobs/guarantees.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/keys.h"
 
 namespace zincdyke {
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -91,7 +91,7 @@
 }
 
 void TeamLocks::catch_up(const TeamName& team) {
-    cluster_.read_through([this, team](bool is_fresh) {
+    cluster_.await_fresh_state([this, team](bool is_fresh) {
         Lock& lock = locks_[team];
         lock.state = lock.state == LockState::catching_up ? LockState::held : LockState::not_held;
         if (is_fresh) on_ready_(team);
--- a/src/sched/logic.cpp
+++ b/src/sched/placement_rules.cpp
@@ -1,4 +1,4 @@
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 #include <algorithm>
 #include <queue>
@@ -30,8 +30,8 @@
 }
 
 bool can_be_preempted_for(const wire::JobSpec& s, const Reservation& r) {
-    return s.rank > r.rank && s.shape == wire::Shape::array && s.checkpoint_s > 0 && r.save_s > 0 &&
-           s.save_s <= r.save_s;
+    return s.rank > r.rank && s.shape == wire::Shape::array && s.checkpoint_s > 0 && r.max_save_s > 0 &&
+           s.save_s <= r.max_save_s;
 }
 
 bool may_use_reserved(const wire::JobSpec& s, const Reservation& r) {
@@ -76,12 +76,12 @@
         room += share(c.free.gpu - need.gpu, largest.gpu);
     else
         room -= 4 * share(c.free.gpu, largest.gpu);  // GPUs are for those who need them
-    return (c.has_image ? image_score : 0) + room - replica_score * std::int64_t{c.replicas} -
-           trouble_score * std::int64_t{c.penalty};
+    return (c.has_image ? image_score : 0) + room - replica_score * std::int64_t{c.replica_count} -
+           trouble_score * std::int64_t{c.failure_penalty};
 }
 
-std::vector<wire::PlacementOffer> rank(std::vector<Candidate>& candidates, const Resources& need,
-                                       std::size_t tasks, RankOptions options) {
+std::vector<wire::PlacementOffer> make_offers(std::vector<Candidate>& candidates, const Resources& need,
+                                              std::size_t tasks, OfferOptions options) {
     Resources largest;
     for (const auto& c : candidates) {
         largest.cpu = std::max(largest.cpu, c.total.cpu);
@@ -97,15 +97,15 @@
     for (std::size_t i = 0; i < n; ++i) enter(i);
     std::vector<wire::PlacementOffer> offers;
     std::map<std::string, std::size_t> taken;
-    while ((options.each_zone || offers.size() < tasks) && !best.empty()) {
+    while ((options.is_limit_per_zone || offers.size() < tasks) && !best.empty()) {
         const auto [top, rest] = best.top();
         best.pop();
         Candidate& c = candidates[n - rest];
-        if (options.each_zone && ++taken[c.zone] > tasks) continue;
+        if (options.is_limit_per_zone && ++taken[c.zone] > tasks) continue;
         c.free -= need;
         // A machine fetches an image once for all its tasks: the next of this job finds it there.
         if (options.spread_replicas)
-            ++c.replicas;
+            ++c.replica_count;
         else
             c.has_image = true;
         offers.push_back({c.id, c.zone, top});
@@ -114,12 +114,12 @@
     return offers;
 }
 
-TaskIndex spread_limit(TaskIndex tasks) { return (tasks + 1) / 2; }
+TaskIndex max_tasks_per_zone(TaskIndex tasks) { return (tasks + 1) / 2; }
 
-std::map<NodeName, std::vector<wire::Assignment>> choose(std::vector<ScoredOffer> offers,
-                                                         const std::vector<TaskIndex>& tasks, bool whole,
-                                                         std::optional<TaskIndex> per_zone,
-                                                         std::mt19937_64& rng, bool one_zone) {
+std::map<NodeName, std::vector<wire::Assignment>> choose_offers(std::vector<ScoredOffer> offers,
+                                                                const std::vector<TaskIndex>& tasks,
+                                                                bool whole, std::optional<TaskIndex> per_zone,
+                                                                std::mt19937_64& rng, bool one_zone) {
     std::shuffle(offers.begin(), offers.end(), rng);
     std::stable_sort(offers.begin(), offers.end(),
                      [](const auto& a, const auto& b) { return a.offer.score > b.offer.score; });
--- a/src/sched/logic.h
+++ b/src/sched/placement_rules.h
@@ -17,8 +17,8 @@
     std::string zone;
     Resources free, total;
     bool has_image = false;
-    int penalty = 0;         // recent troubles
-    TaskIndex replicas = 0;  // of the job that asks, a service: one lost machine should take few of them
+    int failure_penalty = 0;      // recent troubles
+    TaskIndex replica_count = 0;  // of the job that asks, a service: one lost machine should take few of them
 };
 
 // How many tasks with this need the room takes.
@@ -32,7 +32,7 @@
 struct Reservation {
     std::string job_class;
     wire::Rank rank = wire::Rank::standard;
-    double save_s = 0;
+    double max_save_s = 0;
     JobId job = {};  // kept for this one alone
 };
 bool may_use_reserved(const wire::JobSpec& s, const Reservation& r);
@@ -55,16 +55,16 @@
 // machine counts for less than another holder's first, a third for less than a machine without the image.
 std::int64_t score(const Candidate& c, const Resources& need, const Resources& largest);
 
-struct RankOptions {
-    bool each_zone = false;        // up to so many offers from each zone
-    bool spread_replicas = false;  // the tasks are a service's
+struct OfferOptions {
+    bool is_limit_per_zone = false;  // up to so many offers from each zone
+    bool spread_replicas = false;    // the tasks are a service's
 };
 // Up to `tasks` offers, best first; the room of each is taken from the candidates.
-std::vector<wire::PlacementOffer> rank(std::vector<Candidate>& candidates, const Resources& need,
-                                       std::size_t tasks, RankOptions options = {});
+std::vector<wire::PlacementOffer> make_offers(std::vector<Candidate>& candidates, const Resources& need,
+                                              std::size_t tasks, OfferOptions options = {});
 
 // Tasks of a `spread` job that one zone may hold: of these tasks, and of those on one page.
-TaskIndex spread_limit(TaskIndex tasks);
+TaskIndex max_tasks_per_zone(TaskIndex tasks);
 
 struct ScoredOffer {
     wire::PlacementOffer offer;
@@ -72,10 +72,10 @@
 };
 // The gatherer's choice: top scores, ties at random. A gang gets all or nothing. For a job of one zone it is
 // the zone that can take most of the tasks, and of those the one with the best scores.
-std::map<NodeName, std::vector<wire::Assignment>> choose(std::vector<ScoredOffer> offers,
-                                                         const std::vector<TaskIndex>& tasks, bool whole,
-                                                         std::optional<TaskIndex> per_zone,
-                                                         std::mt19937_64& rng, bool one_zone = false);
+std::map<NodeName, std::vector<wire::Assignment>> choose_offers(std::vector<ScoredOffer> offers,
+                                                                const std::vector<TaskIndex>& tasks,
+                                                                bool whole, std::optional<TaskIndex> per_zone,
+                                                                std::mt19937_64& rng, bool one_zone = false);
 
 // What a gang's tasks may do next.
 struct GangState {
--- a/src/sched/spread.cpp
+++ b/src/sched/spread.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 namespace zincdyke::sched {
 namespace {
 TaskIndex most_in_a_zone(std::uint32_t page, std::size_t tasks) {
     const auto n = static_cast<TaskIndex>(tasks);
-    return page == 0 ? spread_limit(n) : n / 2;
+    return page == 0 ? max_tasks_per_zone(n) : n / 2;
 }
 
 TaskIndex placed_in(const std::vector<TaskState>& tasks, const std::string& zone) {
@@ -18,11 +18,12 @@
 }
 }  // namespace
 
-bool zone_has_room(const std::vector<TaskState>& page_tasks, std::uint32_t page, const std::string& zone) {
+bool is_below_zone_limit(const std::vector<TaskState>& page_tasks, std::uint32_t page,
+                         const std::string& zone) {
     return placed_in(page_tasks, zone) < most_in_a_zone(page, page_tasks.size());
 }
 
-bool every_page_spread(const Job& j) {
+bool all_pages_within_zone_limit(const Job& j) {
     if (j.small_page_size == 0) return true;
     return std::all_of(j.pages.begin(), j.pages.end(), [](const auto& entry) {
         const auto& [n, page] = entry;
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -18,9 +18,9 @@
         response.is_gang = job->spec.shape == wire::Shape::gang;
         const Placement placement{request, *job, state_cache_.required_zone(*job)};
         auto candidates = find_candidates(placement);
-        response.offers = sched::rank(
-            candidates, request.need, request.tasks.size(),
-            {.each_zone = job->spec.one_zone && !placement.zone, .spread_replicas = job->spec.is_service()});
+        response.offers = sched::make_offers(candidates, request.need, request.tasks.size(),
+                                             {.is_limit_per_zone = job->spec.one_zone && !placement.zone,
+                                              .spread_replicas = job->spec.is_service()});
         counts_.offers += response.offers.size();
         parts_.capacity.reserve(request.round, request.need, response.offers);
     }
@@ -66,8 +66,8 @@
                                std::min(parts_.cordons.error_count(id), max_error_penalty),
                                0};
     const auto* failed_on = parts_.cordons.machines_failed_by(job.spec.id);
-    if (failed_on != nullptr && failed_on->contains(id)) candidate.penalty += failed_here_penalty;
-    if (job.spec.is_service()) candidate.replicas = replicas_on(id, job.spec.id);
+    if (failed_on != nullptr && failed_on->contains(id)) candidate.failure_penalty += failed_here_penalty;
+    if (job.spec.is_service()) candidate.replica_count = replicas_on(id, job.spec.id);
     return candidate;
 }
 
--- a/src/workers/placement_scorer.h
+++ b/src/workers/placement_scorer.h
@@ -11,7 +11,7 @@
 #include "cluster/cluster_coordinator.h"
 #include "cluster/peer_channel.h"
 #include "jobs/task_committer.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "store/state_cache.h"
 #include "wire/peer_messages.h"
 #include "workers/capacity_tracker.h"
--- a/src/workers/reserved_machines.h
+++ b/src/workers/reserved_machines.h
@@ -3,7 +3,7 @@
 #include <map>
 
 #include "base/env.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 #include "wire/peer_messages.h"
 
 namespace zincdyke {
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "base/log.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 namespace zincdyke {
 namespace {
--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -85,7 +85,7 @@
     using State = ViewState::State;
     ViewState view;
     EXPECT_FALSE(view.is_loaded());
-    view.on_doubt();  // the list under way makes up for it
+    view.on_invalidated();  // the list under way makes up for it
     EXPECT_EQ(view.state(), State::loading);
     EXPECT_FALSE(view.begin_catch_up());
     view.on_loaded();
@@ -93,7 +93,7 @@
     EXPECT_FALSE(view.begin_catch_up());
     EXPECT_FALSE(view.end_catch_up());
 
-    view.on_doubt();
+    view.on_invalidated();
     EXPECT_EQ(view.state(), State::stale);
     EXPECT_FALSE(view.end_catch_up());  // a watch that was sent before the doubt proves nothing
     EXPECT_TRUE(view.begin_catch_up());
@@ -107,9 +107,9 @@
 TEST(ViewState, DoubtWhileCatchingUpAsksForAnotherWatch) {
     ViewState view;
     view.on_loaded();
-    view.on_doubt();
+    view.on_invalidated();
     EXPECT_TRUE(view.begin_catch_up());
-    view.on_doubt();
+    view.on_invalidated();
     EXPECT_FALSE(view.end_catch_up());
     EXPECT_TRUE(view.begin_catch_up());
 }
@@ -122,7 +122,7 @@
     view.on_reload();
     EXPECT_TRUE(view.is_loaded());
     EXPECT_TRUE(view.is_list_under_way());
-    view.on_doubt();
+    view.on_invalidated();
     EXPECT_EQ(view.state(), ViewState::State::reloading);
     view.on_loaded();
     EXPECT_TRUE(view.is_current());
@@ -137,9 +137,9 @@
     };
     reads.add(start, note("a"));
     reads.add(start, [&](bool) { reads.add(start + millis(1), note("d")); });
-    const auto end = reads.next_number();
+    const auto end = reads.next_read_number();
     reads.add(start + millis(1), note("c"));
-    reads.answer_below(end);
+    reads.complete_before(end);
     EXPECT_EQ(answered, std::vector<std::string>{"a+"});
     reads.expire(start + millis(1701));
     EXPECT_EQ(answered.size(), 1U);
@@ -152,12 +152,12 @@
     int lost = 0;
     SessionKeeper session(env, settings, store, state_cache, [&] { ++lost; });
     session.start();
-    EXPECT_EQ(session.lease(), 0U);
+    EXPECT_EQ(session.lease_id(), 0U);
     env.answer("/grants", 503);
     EXPECT_EQ(env.waiting("/grants"), 0U);
     env.run_for(millis(250));
     env.answer("/grants", 200, R"({"tether":7})");
-    EXPECT_EQ(session.lease(), 7U);
+    EXPECT_EQ(session.lease_id(), 7U);
     EXPECT_FALSE(session.is_open());
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("tether":7)"), std::string::npos);
     EXPECT_TRUE(session.is_open());
@@ -176,7 +176,7 @@
     env.answer("/grants", 200, R"({"tether":8})");
     env.answer("/commit", 200, R"({"epoch":9})");
     EXPECT_TRUE(session.is_open());
-    EXPECT_EQ(session.lease(), 8U);
+    EXPECT_EQ(session.lease_id(), 8U);
     EXPECT_EQ(session.incarnation(), Revision{5});
 }
 
@@ -193,9 +193,9 @@
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":6})").body.find(R"("tether":8)"), std::string::npos);
     EXPECT_TRUE(session.is_open());
 
-    session.register_again();
+    session.restore_record();
     EXPECT_FALSE(session.is_open());
-    session.register_again();
+    session.restore_record();
     EXPECT_EQ(env.waiting("/commit"), 1U);
     env.answer("/commit", 400);  // the lease expired meanwhile
     EXPECT_FALSE(session.is_open());
@@ -230,7 +230,7 @@
     env.stall(seconds(1.2));
     EXPECT_FALSE(watcher.is_up_to_date());  // though no timer has run yet
     bool is_fresh = true;
-    watcher.read_through([&](bool fresh) { is_fresh = fresh; });
+    watcher.await_fresh_state([&](bool fresh) { is_fresh = fresh; });
     env.run_for(Duration(0));
     EXPECT_FALSE(is_fresh);
     EXPECT_FALSE(watcher.is_up_to_date());
@@ -260,10 +260,10 @@
     watcher.start();
     env.answer("/store", 200, R"({"epoch":10,"items":[]})");
     int fresh = 0;
-    for (int i = 0; i < 3; ++i) watcher.read_through([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });
+    for (int i = 0; i < 3; ++i) watcher.await_fresh_state([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });
     env.run_for(millis(10));
-    EXPECT_EQ(env.waiting("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);     // may hang
-    watcher.read_through([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });  // after the request below
+    EXPECT_EQ(env.waiting("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);          // may hang
+    watcher.await_fresh_state([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });  // after the request below
     env.answer("/watch?prefix=z/&after=10&hold_ms=0", 200, R"({"epoch":10,"news":[]})");
     EXPECT_EQ(fresh, 3);
 }
@@ -274,12 +274,12 @@
                                [&] { ++claimed; });
     put_session("n0", 1);
     put_session("n1", 2);
-    leadership.review(Revision{1});
-    leadership.review(Revision{1});
+    leadership.claim_shards(Revision{1});
+    leadership.claim_shards(Revision{1});
     ASSERT_EQ(env.waiting("/commit"), 1U);  // the other shard's home is alive
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(keys::shard(0)), std::string::npos);
     EXPECT_EQ(claimed, 1);
-    leadership.review(Revision{1});
+    leadership.claim_shards(Revision{1});
     EXPECT_EQ(env.waiting("/commit"), 0U);
     EXPECT_FALSE(leadership.term(0));
     leadership.announce_changes();
@@ -302,25 +302,25 @@
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("owner":"n1")"), std::string::npos);
     put_leader(0, "n1", 5);
     env.run_for(seconds(30));
-    leadership.review(Revision{1});
+    leadership.claim_shards(Revision{1});
     EXPECT_EQ(env.waiting("/commit"), 0U);
     env.run_for(millis(1));
-    leadership.review(Revision{1});
+    leadership.claim_shards(Revision{1});
     EXPECT_NE(env.answer("/commit", 409).body.find(R"("owner":"n0")"), std::string::npos);
 }
 
 TEST_F(ClusterUnit, ElectionHasOneCandidacyAtATime) {
     AutoscalerElection election(env, settings, store, state_cache, membership);
     put_session("n0", 1);
-    election.review(7);
-    election.review(7);
+    election.campaign_if_vacant(7);
+    election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 1U);
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("tether":7)"), std::string::npos);
     EXPECT_FALSE(election.is_won());  // the watch tells
-    election.review(7);
+    election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 0U);
     env.run_for(millis(300));
-    election.review(7);
+    election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 1U);
     state_cache.apply({keys::autoscaler_leader, Json{{"node", "n0"}}, Revision{5}});
     EXPECT_TRUE(election.is_won());
--- a/tests/placement_decision_test.cpp
+++ b/tests/placement_decision_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <vector>
 
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 namespace zincdyke {
 namespace {
@@ -19,14 +19,15 @@
     const std::vector<sched::ScoredOffer> offers{offer("host-1", "a", 900), offer("host-2", "b", 10),
                                                  offer("host-3", "b", 20), offer("host-4", "a", 5),
                                                  offer("host-5", "b", 1)};
-    auto yes = sched::choose(offers, {0, 1, 2}, true, std::nullopt, rng, true);
+    auto yes = sched::choose_offers(offers, {0, 1, 2}, true, std::nullopt, rng, true);
     ASSERT_EQ(yes[NodeName("n")].size(), 3U);
     for (const auto& a : yes[NodeName("n")])
         EXPECT_TRUE(a.machine != MachineId("host-1") && a.machine != MachineId("host-4"));
-    yes = sched::choose(offers, {0, 1}, true, std::nullopt, rng, true);  // both zones can: the better scores
+    // Both zones can take the tasks: the one with the better scores is chosen.
+    yes = sched::choose_offers(offers, {0, 1}, true, std::nullopt, rng, true);
     ASSERT_EQ(yes[NodeName("n")].size(), 2U);
     EXPECT_EQ(yes[NodeName("n")][0].machine, MachineId("host-1"));
-    yes = sched::choose(offers, {0, 1, 2, 3}, true, std::nullopt, rng, true);
+    yes = sched::choose_offers(offers, {0, 1, 2, 3}, true, std::nullopt, rng, true);
     EXPECT_TRUE(yes.empty());
 }
 
@@ -50,7 +51,7 @@
     std::vector<sched::Candidate> c{{MachineId("small"), "a", {2000, 0, 4000}, {4000, 0, 8000}, false, 0},
                                     {MachineId("holder"), "a", {1000, 0, 4000}, {4000, 0, 8000}, true, 0},
                                     {MachineId("roomy"), "a", {4000, 0, 8000}, {4000, 0, 8000}, false, 0}};
-    auto offers = sched::rank(c, {1000, 0, 1000}, 10);
+    auto offers = sched::make_offers(c, {1000, 0, 1000}, 10);
     ASSERT_EQ(offers.size(), 7U);  // 1 + 2 + 4 CPUs
     EXPECT_EQ(offers[0].machine.value(), "holder");
     EXPECT_EQ(offers[1].machine.value(), "roomy");
@@ -60,8 +61,8 @@
     std::mt19937_64 rng(1);
     std::vector<sched::ScoredOffer> offers{{{MachineId("m1"), "a", 5}, NodeName("x")},
                                            {{MachineId("m2"), "a", 9}, NodeName("y")}};
-    EXPECT_TRUE(sched::choose(offers, {0, 1, 2}, true, {}, rng).empty());
-    auto yes = sched::choose(offers, {0}, true, {}, rng);
+    EXPECT_TRUE(sched::choose_offers(offers, {0, 1, 2}, true, {}, rng).empty());
+    auto yes = sched::choose_offers(offers, {0}, true, {}, rng);
     ASSERT_TRUE(yes.contains(NodeName("y")));
     EXPECT_EQ(yes[NodeName("y")][0].machine.value(), "m2");
 }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,7 +1,7 @@
 // Standing services: replicas that run until the job is cancelled and are put back wherever one goes.
 #include "deployment_helpers.h"
 #include "jobs/restart_backoff.h"
-#include "sched/logic.h"
+#include "sched/placement_rules.h"
 
 namespace zincdyke::testing {
 namespace {
@@ -128,7 +128,8 @@
         {zincdyke::MachineId("host-000002"), "a", room, room, true, 0, 0},
         {zincdyke::MachineId("host-000003"), "a", room, room, false, 0, 0}};
     std::map<std::string, int> taken;
-    for (const auto& offer : zincdyke::sched::rank(machines, {1000, 0, 1000}, 5, {.spread_replicas = true}))
+    for (const auto& offer :
+         zincdyke::sched::make_offers(machines, {1000, 0, 1000}, 5, {.spread_replicas = true}))
         ++taken[offer.machine.value()];
     EXPECT_EQ(taken,
               (std::map<std::string, int>{{"host-000001", 2}, {"host-000002", 2}, {"host-000003", 1}}));
