--- a/src/cluster/autoscaler_election.cpp
+++ b/src/cluster/autoscaler_election.cpp
@@ -15,17 +15,17 @@
 
 bool AutoscalerElection::is_won() const { return state_cache_.autoscaler_leader() == settings_.node; }
 
-void AutoscalerElection::campaign_if_vacant(std::uint64_t session_lease) {
+void AutoscalerElection::campaign_if_vacant(std::uint64_t session_lease_id) {
     const NodeName& leader = state_cache_.autoscaler_leader();
-    if (state_ == State::idle && (leader.empty() || !membership_.is_live(leader))) campaign(session_lease);
+    if (state_ == State::idle && (leader.empty() || !membership_.is_live(leader))) campaign(session_lease_id);
 }
 
-void AutoscalerElection::campaign(std::uint64_t session_lease) {
+void AutoscalerElection::campaign(std::uint64_t session_lease_id) {
     state_ = State::awaiting_result;
     Transaction txn;
     txn.conditions.push_back({keys::autoscaler_leader, state_cache_.version(keys::autoscaler_leader)});
     txn.writes.push_back(
-        {keys::autoscaler_leader, records::encode_autoscaler_leader(settings_.node), session_lease});
+        {keys::autoscaler_leader, records::encode_autoscaler_leader(settings_.node), session_lease_id});
     store_.commit(txn, RequestPriority::lease, [this](const CommitResult& result) {
         if (result.outcome == Outcome::ok)
             log::info("event=autoscaler_leader_elected revision={}", result.revision.value());
--- a/src/cluster/autoscaler_election.h
+++ b/src/cluster/autoscaler_election.h
@@ -1,4 +1,4 @@
-/// Election of the one controller that scales the fleet.
+/// Election of the autoscaler leader: the one controller that scales the fleet of machines out and in.
 #pragma once
 #include <cstdint>
 
@@ -10,31 +10,34 @@
 
 namespace zincdyke {
 
-/// Runs for leader of the autoscaler while there is none.
+/// Makes this controller a candidate for autoscaler leader whenever no live controller holds that role.
 ///
-/// The leader is named by one record of the key-value store, tied to the leader's session lease: it goes with
-/// the session. Every controller may write it on condition of the version it saw, so that one candidate wins.
+/// One record in the key-value store names the autoscaler leader. The record is attached to the leader's
+/// session lease, so the store deletes it when the session expires. Candidates write the record with a
+/// compare-and-swap on its version, so at most one of them wins.
 class AutoscalerElection {
   public:
-    /// All must outlive this object.
+    /// All constructor arguments must outlive the AutoscalerElection.
     AutoscalerElection(Env& env, const Settings& settings, StoreClient& store, const StateCache& state_cache,
                        const Membership& membership);
 
-    /// Runs for leader if none is alive. `session_lease` is the lease of this node's session. To be called
-    /// regularly, while the state cache is up to date and the session is open.
-    void campaign_if_vacant(std::uint64_t session_lease);
-    /// The record names this node. Whether it may act on that, its session and its view decide.
+    /// Starts a candidacy if there is no live autoscaler leader and no candidacy is in progress. Attaches the
+    /// leader record to `session_lease_id`, the lease of this controller's session. Must be called
+    /// periodically while the state cache is up to date and the session is open.
+    void campaign_if_vacant(std::uint64_t session_lease_id);
+    /// Returns whether the state cache names this controller as autoscaler leader. The caller must also check
+    /// that the session is open and the state cache is up to date before it acts as leader.
     [[nodiscard]] bool is_won() const;
 
   private:
     enum class State : std::uint8_t {
         idle,
         awaiting_result,
-        // The watch brings the record a little later than the commit's answer; until then there seems to be
-        // no leader still.
+        // The watch delivers the new leader record shortly after the commit response. No candidacy starts in
+        // between, because the state cache still shows no leader.
         cooling_down
     };
-    void campaign(std::uint64_t session_lease);
+    void campaign(std::uint64_t session_lease_id);
     Env& env_;
     const Settings& settings_;
     StoreClient& store_;
--- a/src/cluster/cancellation_watermark.cpp
+++ b/src/cluster/cancellation_watermark.cpp
@@ -5,27 +5,31 @@
 namespace zincdyke {
 namespace {
 constexpr Duration lag_timeout = std::chrono::seconds(4);
-// In one acknowledgement: what a frame surely holds. One that would need more acknowledges nothing.
-constexpr std::size_t max_cancelled_jobs = 12'000;
+// Limits the cancelled jobs listed in one acknowledgement, so that it always fits into a peer frame. A longer
+// list is truncated and marked as incomplete, and the receiver then does not advance its watermark.
+constexpr std::size_t max_listed_cancellations = 12'000;
 constexpr Duration min_renewal_window = std::chrono::seconds(3);
 
 Duration renewal_window_of(const Settings& settings) {
-    // Two clocks may each be off by 0.05%; a second covers the steps of timers and answers under way. Where a
-    // lease is no shorter than `cancel_s` no lease can keep it, and commands to stop are all that is left.
+    // The factors allow for a drift of 0.05% of either clock, with a margin; the subtracted second covers
+    // timer granularity and responses in flight. If `lease_s` is close to `cancel_s` or longer, lease expiry
+    // cannot stop tasks in time, and only stop commands do.
     return std::max(min_renewal_window, seconds(settings.cancel_s * 0.998 - settings.lease_s * 1.002 - 1));
 }
 
-std::uint64_t stamp_of(SteadyTime time) {
+std::uint64_t to_timestamp(SteadyTime time) {
     return static_cast<std::uint64_t>(time.time_since_epoch().count());
 }
-SteadyTime time_of(std::uint64_t stamp) { return SteadyTime(Duration(static_cast<std::int64_t>(stamp))); }
+SteadyTime from_timestamp(std::uint64_t timestamp) {
+    return SteadyTime(Duration(static_cast<std::int64_t>(timestamp)));
+}
 }  // namespace
 
 CancellationWatermark::CancellationWatermark(Env& env, const Settings& settings, StateCache& state_cache)
     : env_(env),
       settings_(settings),
       state_cache_(state_cache),
-      process_epoch_(env.rng()() ^ (stamp_of(env.now()) * 0x9e3779b97f4a7c15ULL)),
+      process_epoch_(env.rng()() ^ (to_timestamp(env.now()) * 0x9e3779b97f4a7c15ULL)),
       renewal_window_(renewal_window_of(settings)) {}
 
 bool CancellationWatermark::may_renew_leases() const {
@@ -34,25 +38,25 @@
 
 bool CancellationWatermark::is_lagging() const { return env_.now() - watermark_ > lag_timeout; }
 
-void CancellationWatermark::on_state_read(SteadyTime sent) {
-    watermark_ = std::max(watermark_, sent);
+void CancellationWatermark::on_state_read(SteadyTime sent_at) {
+    watermark_ = std::max(watermark_, sent_at);
     advance_by_acknowledgements();
 }
 
 wire::CancellationAck CancellationWatermark::acknowledgement_for(const NodeName& peer) const {
     wire::CancellationAck ack;
     ack.sender_epoch = process_epoch_;
-    ack.sent_stamp = stamp_of(env_.now());
+    ack.sent_stamp = to_timestamp(env_.now());
     ack.is_lagging = is_lagging();
-    const auto known = peers_.find(peer);
-    if (known == peers_.end()) return ack;
-    ack.echoed_epoch = known->second.process_epoch;
-    ack.echoed_stamp = known->second.newest_stamp;
-    if (!ack.is_lagging && !known->second.is_lagging) return ack;
+    const auto found = peers_.find(peer);
+    if (found == peers_.end()) return ack;
+    ack.echoed_epoch = found->second.process_epoch;
+    ack.echoed_stamp = found->second.latest_timestamp;
+    if (!ack.is_lagging && !found->second.is_lagging) return ack;
     for (const auto& [id, job] : state_cache_.jobs())
         if (job.cancelled) ack.cancelled.push_back(id);
-    ack.is_complete = ack.cancelled.size() <= max_cancelled_jobs;
-    if (!ack.is_complete) ack.cancelled.resize(max_cancelled_jobs);
+    ack.is_complete = ack.cancelled.size() <= max_listed_cancellations;
+    if (!ack.is_complete) ack.cancelled.resize(max_listed_cancellations);
     return ack;
 }
 
@@ -61,14 +65,15 @@
     if (peer.process_epoch != ack.sender_epoch) {
         peer = {};
         peer.process_epoch = ack.sender_epoch;
-        peer.first_heard = env_.now();
+        peer.first_received_at = env_.now();
     }
-    peer.newest_stamp = std::max(peer.newest_stamp, ack.sent_stamp);
+    peer.latest_timestamp = std::max(peer.latest_timestamp, ack.sent_stamp);
     peer.is_lagging = ack.is_lagging;
     for (const auto& id : ack.cancelled) state_cache_.mark_cancelled(id);
-    // A message may have been held up for minutes: what counts is when we sent the stamp that it echoes.
+    // The echoed timestamp, not the arrival time, dates the acknowledgement, because a message may arrive
+    // minutes late.
     if (!ack.is_complete || ack.echoed_epoch != process_epoch_) return;
-    peer.acknowledged_until = std::max(peer.acknowledged_until, time_of(ack.echoed_stamp));
+    peer.acknowledged_until = std::max(peer.acknowledged_until, from_timestamp(ack.echoed_stamp));
     advance_by_acknowledgements();
 }
 
@@ -76,7 +81,7 @@
     SteadyTime acknowledged_by_all = env_.now();
     for (const auto& seed : settings_.seeds) {
         const auto peer = peers_.find(seed.node);
-        if (peer == peers_.end() || peer->second.first_heard > watermark_) return;
+        if (peer == peers_.end() || peer->second.first_received_at > watermark_) return;
         acknowledged_by_all = std::min(acknowledged_by_all, peer->second.acknowledged_until);
     }
     if (watermark_ != SteadyTime{}) watermark_ = std::max(watermark_, acknowledged_by_all);
--- a/src/cluster/cancellation_watermark.h
+++ b/src/cluster/cancellation_watermark.h
@@ -1,4 +1,5 @@
-/// Up to when this controller knows every cancellation, and so may renew workers' leases.
+/// Tracks how recent this controller's knowledge of cancelled jobs is, to decide whether it may renew the
+/// leases of workers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,63 +12,54 @@
 
 namespace zincdyke {
 
-/// Proves that a cancelled job's tasks are gone within `cancel_s` of when a user was told of the
-/// cancellation, also where commands to stop them are lost (docs/design.md, "Cancellations").
+/// Ensures that the tasks of a cancelled job stop within `cancel_s` seconds after a controller confirmed the
+/// cancellation to a user, even if the stop commands are lost (docs/design.md, "Cancellations").
 ///
-/// The watermark, `time()`, is a moment of this node's steady clock: every cancellation that any controller
-/// told a user of before it is known here. Every renewal of a worker's lease carries the command to stop what
-/// is known to be cancelled, and a worker whose lease ends kills its tasks. Suppose that a cancellation was
-/// told at C, and the last renewal that reached the worker did not know of it. Then the watermark was no
-/// later than C when that renewal was given. It is given only before `time() + renewal_window()`, so before C
-/// + renewal_window(), and the lease ends `lease_s` later. The window is what of `cancel_s` remains beside
-/// `lease_s` and the drift of clocks: so the task is gone before C + `cancel_s`.
-///
-/// Two things advance the watermark:
-/// - Reading: what the store was asked at T, and is in the state cache, holds all that was committed by T; a
-///   cancellation is committed before anyone is told of it.
-/// - Acknowledgements, while the store answers nobody. Each peer heartbeat carries one
-///   (`wire::CancellationAck`): the sender's clock; the newest such stamp that it has had from the receiver,
-///   echoed; and, while either of the two lags, all unfinished jobs that the sender knows to be cancelled,
-///   which are all that it may have told of. Once every other controller has echoed a stamp of T or later,
-///   the watermark is T. Only a node's own stamps are compared with its own clock; an acknowledgement held up
-///   for minutes echoes a stamp that old.
-///
-/// A controller that started anew does not know what its earlier process told. So a process's
-/// acknowledgements count only once the watermark has passed the moment at which that process was first heard
-/// of; until then only reading advances it.
-///
-/// Never goes back. Runs on the event loop; tests/cancellation_test.cpp has outages with and without a
-/// missing peer.
+/// The watermark is a time on this controller's steady clock. This controller knows every cancellation that
+/// any controller confirmed before the watermark. The watermark never moves backwards.
 class CancellationWatermark {
   public:
-    /// The references must outlive this object. The cache is told of cancellations that peers name.
+    /// All constructor arguments must outlive the CancellationWatermark. Cancellations that peers report are
+    /// marked in `state_cache`.
     CancellationWatermark(Env& env, const Settings& settings, StateCache& state_cache);
 
-    /// The store was asked at `sent`, and all that it answered is in the state cache.
-    void on_state_read(SteadyTime sent);
-    /// What the next heartbeat to a peer is to carry.
+    /// Advances the watermark to `sent_at`, the time at which a read of the key-value store was sent whose
+    /// result is now in the state cache. The result contains every cancellation confirmed before `sent_at`,
+    /// because a cancellation is committed to the store before a user receives the confirmation.
+    void on_state_read(SteadyTime sent_at);
+    /// Returns the acknowledgement to include in the next heartbeat to `peer`. It echoes the latest timestamp
+    /// received from that peer. While either controller's watermark lags, it also lists all unfinished jobs
+    /// that this controller knows to be cancelled.
     [[nodiscard]] wire::CancellationAck acknowledgement_for(const NodeName& peer) const;
-    /// What a peer's heartbeat carried.
+    /// Processes the acknowledgement in a heartbeat from the controller `from`. Once every other controller
+    /// has echoed a timestamp of T or later, the watermark advances to T, even if the key-value store is
+    /// unreachable. Only this controller's own timestamps are compared with its clock, so a delayed
+    /// acknowledgement is harmless.
     void on_acknowledgement(const NodeName& from, const wire::CancellationAck& ack);
 
-    /// An answer to a heartbeat may renew the worker's lease: now is before `time() + renewal_window()`, and
-    /// the store has been read once.
+    /// Returns whether a heartbeat response may renew a worker's lease: the key-value store has been read at
+    /// least once, and the current time is before `time() + renewal_window()`. Every response that renews a
+    /// lease must also stop the worker's tasks whose jobs are known to be cancelled.
     [[nodiscard]] bool may_renew_leases() const;
-    /// The watermark has not advanced for 4 s: peers should name the cancellations they know.
+    /// Returns whether the cancellation watermark is more than 4 s old. Peers then list the cancellations
+    /// that they know in their acknowledgements.
     [[nodiscard]] bool is_lagging() const;
-    /// The watermark; 0 before the store was first read.
+    /// Returns the cancellation watermark; the zero time before the first read of the key-value store.
     [[nodiscard]] SteadyTime time() const { return watermark_; }
-    /// For how long after the watermark leases are renewed; 3 s at the least.
+    /// Returns how long after the watermark worker leases may still be renewed. A worker renewed at the end
+    /// of this window loses its lease, and kills its tasks, before `cancel_s` has passed since the watermark.
+    /// The window is at least 3 s.
     [[nodiscard]] Duration renewal_window() const { return renewal_window_; }
 
   private:
-    /// What this node knows of a peer's present process.
+    /// The state of one peer controller, reset when the peer's process restarts. A restarted process does not
+    /// know which cancellations its predecessor confirmed, so its acknowledgements count only after the
+    /// watermark has passed `first_received_at`.
     struct Peer {
-        std::uint64_t process_epoch = 0;  // random, new for each process
-        SteadyTime first_heard{};         // the process began by then
-        SteadyTime acknowledged_until{};  // all that it told its users before this
-                                          // is known here
-        std::uint64_t newest_stamp = 0;   // of the peer's clock, to be echoed
+        std::uint64_t process_epoch = 0;  // random number chosen by each process at startup
+        SteadyTime first_received_at{};   // arrival time of the first acknowledgement from this process
+        SteadyTime acknowledged_until{};  // time up to which all cancellations the peer confirmed are known
+        std::uint64_t latest_timestamp = 0;  // latest reading of the peer's clock, echoed back to it
         bool is_lagging = false;
     };
     void advance_by_acknowledgements();
--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -23,7 +23,7 @@
 void ClusterCoordinator::start() {
     session_keeper_.start();
     state_watcher_.start();
-    review();
+    review_leaderships();
 }
 
 std::optional<NodeName> ClusterCoordinator::leader_of(const MachineId& machine) const {
@@ -46,11 +46,11 @@
     if (is_up_to_date()) shard_leadership_.transfer(shard, incarnation());
 }
 
-void ClusterCoordinator::review() {
-    env_.after(review_interval, [this] { review(); });
+void ClusterCoordinator::review_leaderships() {
+    env_.after(review_interval, [this] { review_leaderships(); });
     if (!is_up_to_date() || !session_keeper_.is_open()) return;
-    // A commit of an earlier process of this node, held and carried out late, may have tied our record to a
-    // lease that then expired.
+    // The session record may be missing although the session is open: a delayed commit from an earlier
+    // process of this controller can attach the record to an old lease, whose expiry then deletes it.
     if (!is_live(settings_.node)) return session_keeper_.restore_record();
     shard_leadership_.claim_shards(incarnation());
     autoscaler_election_.campaign_if_vacant(session_keeper_.lease_id());
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -1,4 +1,4 @@
-/// This controller's place in the cluster: its session, its view of the key-value store, what it leads.
+/// Coordination of this controller with the others: its session, its state cache, and what it leads.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,61 +22,67 @@
 
 namespace zincdyke {
 
-/// What the other parts of a controller ask about the cluster. It composes the classes that do the work and
-/// reviews regularly what this node should lead. All runs on the event loop.
+/// The interface through which the rest of a controller queries cluster state and leadership.
+///
+/// It owns the classes that keep the session, the state cache and the leaderships current, and periodically
+/// claims the shards that this controller should lead. All of it runs on the event loop.
 class ClusterCoordinator {
   public:
-    /// The references must outlive this object.
+    /// All constructor arguments must outlive the ClusterCoordinator.
     ClusterCoordinator(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                        ClusterObserver& observer);
-    /// Begins to read the store and to acquire a session; to be called once.
+    /// Starts reading the key-value store and requests a session. Must be called exactly once.
     void start();
-    /// To be told by the state cache.
+    /// Must be called when the state cache reports a change of the live controllers or of a leader.
     void on_membership_changed();
 
-    /// The store has been read in full at least once.
+    /// Returns whether the key-value store has been read completely at least once.
     [[nodiscard]] bool is_synced() const { return state_watcher_.is_loaded(); }
-    /// The store answers, and what it holds was read since it last went away, since this node last lost its
-    /// session and since this process last stalled: nothing is decided on a view from before. A stall counts
-    /// at once, before any overdue timer has run.
+    /// Returns whether decisions may be based on the state cache: the key-value store is reachable, and the
+    /// cache has been refreshed since the store was last unreachable, since this controller last lost its
+    /// session and since the process last stalled. A stall is detected even before any overdue timer has
+    /// fired.
     [[nodiscard]] bool is_up_to_date() const { return state_watcher_.is_up_to_date(); }
-    /// Calls back, from the loop, once the state cache holds all that was committed before this call: one
-    /// read of the store serves all who asked before it was sent. False when there was no answer within 1.7
-    /// s, or none is to be had.
+    /// Calls `done(true)` once the state cache contains everything that was committed before this call, or
+    /// `done(false)` if that takes longer than 1.7 s or the state cache is not up to date. The callback runs
+    /// from the event loop, never within this call. One read of the store serves all calls made before the
+    /// read was sent.
     void await_fresh_state(PendingReads::Callback done) { state_watcher_.await_fresh_state(std::move(done)); }
 
-    /// This node's term of a shard that it leads, as far as it knows.
+    /// Returns this controller's term as leader of the shard, or nothing if it does not lead the shard
+    /// according to the state cache.
     [[nodiscard]] std::optional<Term> term(std::uint32_t shard) const {
         return shard_leadership_.term(shard);
     }
-    /// The same of the shard that the machine falls to.
+    /// Returns this controller's term as leader of the machine's shard, or nothing if it does not lead that
+    /// shard according to the state cache.
     [[nodiscard]] std::optional<Term> leader_term(const MachineId& machine) const {
         return term(state_cache_.shard_of(machine));
     }
-    /// The controller that the machine's worker should report to, if that is another one, and alive.
+    /// Returns the leader of the machine's shard if that is another controller and is alive, otherwise
+    /// nothing. The machine's worker should send its heartbeats there.
     [[nodiscard]] std::optional<NodeName> leader_of(const MachineId& machine) const;
-    /// Gives a shard to another live controller: this one receives nothing from its workers. Taken back at
-    /// the earliest after three worker leases, or when the other is gone; a process that starts anew knows
-    /// nothing of it.
+    /// Transfers leadership of a shard to another live controller, for use when no heartbeats arrive from the
+    /// shard's workers. This controller reclaims the shard at the earliest after three worker lease
+    /// durations, or when the new leader is no longer alive. The transfer is not remembered across a restart.
     void transfer_leadership(std::uint32_t shard);
-    /// This node is the autoscaler's leader, its session is open and its view is up to date.
+    /// Returns whether this controller may act as autoscaler leader: it won the election, its session is open
+    /// and its state cache is up to date.
     [[nodiscard]] bool is_autoscaler_leader() const;
 
-    /// See Membership.
+    // The functions below are documented in Membership, JobRoles, WriteBudgetShare and SessionKeeper, to
+    // which they delegate.
     [[nodiscard]] std::vector<NodeName> live_nodes() const { return membership_.live_nodes(); }
     [[nodiscard]] bool is_live(const NodeName& node) const { return membership_.is_live(node); }
-    /// See JobRoles.
     [[nodiscard]] NodeName relay_of(const Job& job) const { return job_roles_.relay_of(job); }
     [[nodiscard]] NodeName committer_of(const Job& job) const { return job_roles_.committer_of(job); }
-    /// See WriteBudgetShare::update.
     void update_write_share(double own_demand, const std::map<NodeName, double>& peer_demands) {
         write_budget_share_.update(own_demand, peer_demands);
     }
-    /// See SessionKeeper.
     [[nodiscard]] Revision incarnation() const { return session_keeper_.incarnation(); }
 
   private:
-    void review();
+    void review_leaderships();
     Env& env_;
     const Settings& settings_;
     StateCache& state_cache_;
--- a/src/cluster/cluster_observer.h
+++ b/src/cluster/cluster_observer.h
@@ -1,4 +1,4 @@
-/// What the other parts of a controller are told of its standing in the cluster.
+/// Events that the cluster coordination reports to the rest of a controller.
 #pragma once
 #include <cstdint>
 
@@ -6,7 +6,7 @@
 
 namespace zincdyke {
 
-/// Told, from the event loop, of what ClusterCoordinator learns.
+/// Receives events from ClusterCoordinator. All member functions are called on the event loop.
 class ClusterObserver {
   public:
     ClusterObserver() = default;
@@ -14,10 +14,11 @@
     ClusterObserver& operator=(const ClusterObserver&) = delete;
     virtual ~ClusterObserver() = default;
 
-    /// This node leads the shard from now on, under a term of its own.
+    /// Called when this controller becomes leader of the shard.
     virtual void on_leadership_acquired(std::uint32_t shard) = 0;
-    /// All that the key-value store held when it was asked, at `sent`, is in the state cache.
-    virtual void on_state_read(SteadyTime sent) = 0;
+    /// Called when a read of the key-value store has been applied to the state cache. The read request was
+    /// sent at `sent_at`, so the cache contains everything that was committed before that time.
+    virtual void on_state_read(SteadyTime sent_at) = 0;
 };
 
 }  // namespace zincdyke
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -9,9 +9,9 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration review_interval = std::chrono::milliseconds(500);
+constexpr Duration update_interval = std::chrono::milliseconds(500);
 
-std::string joined(const std::vector<NodeName>& names) {
+std::string join(const std::vector<NodeName>& names) {
     std::string text;
     for (const auto& name : names) text += (text.empty() ? "" : ",") + name.value();
     return text;
@@ -27,43 +27,43 @@
       cluster_(cluster),
       all_nodes_(settings.all_nodes()) {}
 
-void FormatLevel::start() { review(); }
+void FormatLevel::start() { update_level(); }
 
 std::vector<NodeName> FormatLevel::unregistered_nodes() const {
     std::vector<NodeName> missing;
     if (state_cache_.format_level() >= highest_supported) return missing;
     for (const auto& node : all_nodes_) {
-        const auto known = state_cache_.known_formats().find(node);
-        if (known == state_cache_.known_formats().end() || known->second < highest_supported)
+        const auto registered = state_cache_.known_formats().find(node);
+        if (registered == state_cache_.known_formats().end() || registered->second < highest_supported)
             missing.push_back(node);
     }
     return missing;
 }
 
-void FormatLevel::review() {
-    env_.after(review_interval, [this] { review(); });
-    if (!cluster_.is_up_to_date() || is_commit_under_way_ || state_cache_.format_level() >= highest_supported)
+void FormatLevel::update_level() {
+    env_.after(update_interval, [this] { update_level(); });
+    if (!cluster_.is_up_to_date() || is_commit_in_flight_ || state_cache_.format_level() >= highest_supported)
         return;
     const auto missing = unregistered_nodes();
     if (std::find(missing.begin(), missing.end(), settings_.node) != missing.end())
         return commit_level(keys::known_format(settings_.node), highest_supported, "format_registered");
-    if (missing.size() != logged_missing_count_)
-        log::info("event=format_level_waits for={}", joined(missing));
+    if (missing.size() != logged_missing_count_) log::info("event=format_level_waits for={}", join(missing));
     logged_missing_count_ = missing.size();
-    // One node is enough; any may do it, and again: the commit names the version that was seen.
+    // One controller picked by hash commits the raise, to avoid conflicts. A duplicate commit would be
+    // harmless, because it is conditional on the version read.
     if (missing.empty() && pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
         commit_level(keys::format_level, highest_supported, "format_level_raised");
 }
 
-// Without an answer it may have been carried out or not; the watch tells, and a repeat names the same
-// version.
+// If the commit gets no response, the watch eventually shows whether it was executed. The next attempt is
+// conditional on the record's current version.
 void FormatLevel::commit_level(const std::string& key, std::uint32_t level, const char* event) {
-    is_commit_under_way_ = true;
+    is_commit_in_flight_ = true;
     Transaction txn;
     txn.conditions.push_back({key, state_cache_.version(key)});
     txn.writes.push_back({key, records::encode_format_level(level), std::nullopt});
     store_.commit(txn, RequestPriority::report, [this, key, txn, event](const CommitResult& result) {
-        is_commit_under_way_ = false;
+        is_commit_in_flight_ = false;
         if (result.outcome != Outcome::ok) return;
         log::info("event={} revision={}", event, result.revision.value());
         state_cache_.apply({key, txn.writes[0].value, result.revision});
--- a/src/cluster/format_level.h
+++ b/src/cluster/format_level.h
@@ -1,4 +1,4 @@
-/// The format level: which records the fleet writes while it is upgraded node by node.
+/// The format level: which record formats controllers write during a rolling upgrade.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,30 +12,30 @@
 
 namespace zincdyke {
 
-/// Raises the fleet's format level once all nodes understand the next one.
+/// Raises the fleet-wide format level once every controller supports the next level.
 ///
-/// Until the level rises, every record and frame is one that production's version writes. Each node registers
-/// durably the level that its version understands. Once all nodes that the settings name have registered, one
-/// of them raises the fleet's level by a conditional commit; it never falls. A node that dies before its
-/// upgrade comes back with the earlier version, but has not registered yet; one that has registered runs this
-/// version or a later one from then on.
+/// Each controller durably registers the highest level that its version supports. Once every controller named
+/// in the settings has registered, one of them raises the fleet's level with a compare-and-swap. The level
+/// never falls, so a registered controller must not be downgraded.
 class FormatLevel {
   public:
-    /// Level 0: production's records. Level 1: a job's record may name smaller pages.
+    /// From this level on, a job record may specify a page size below the standard one. Level 0 is the
+    /// initial format.
     static constexpr std::uint32_t small_pages = 1;
-    /// The level that this version registers.
+    /// The highest format level that this version of the program supports, and registers.
     static constexpr std::uint32_t highest_supported = small_pages;
 
-    /// All must outlive this object.
+    /// All constructor arguments must outlive the FormatLevel.
     FormatLevel(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                 const ClusterCoordinator& cluster);
-    /// Begins to register and to review, on the event loop; to be called once.
+    /// Starts the periodic registration and level check on the event loop. Must be called exactly once.
     void start();
-    /// The nodes that have not registered yet, for which the level waits; none once it has risen.
+    /// Returns the controllers that have not yet registered support for the highest level and so block the
+    /// raise. Empty once the level has been raised.
     [[nodiscard]] std::vector<NodeName> unregistered_nodes() const;
 
   private:
-    void review();
+    void update_level();
     void commit_level(const std::string& key, std::uint32_t level, const char* event);
     Env& env_;
     const Settings& settings_;
@@ -44,7 +44,7 @@
     const ClusterCoordinator& cluster_;
     const std::vector<NodeName> all_nodes_;
     std::size_t logged_missing_count_ = 0;
-    bool is_commit_under_way_ = false;
+    bool is_commit_in_flight_ = false;
 };
 
 }  // namespace zincdyke
--- a/src/cluster/job_roles.h
+++ b/src/cluster/job_roles.h
@@ -1,4 +1,4 @@
-/// Which controllers relay a job's tasks and commit its changes.
+/// Assigns the relay and the committer of each job to controllers.
 #pragma once
 #include <vector>
 
@@ -10,19 +10,21 @@
 
 namespace zincdyke {
 
-/// Picks a job's controllers from its record and the live ones. All controllers with the same view pick
-/// alike; for a while they may differ, which costs conflicts but breaks nothing.
+/// Picks the relay and the committer of a job from the job's record and the set of live controllers.
+///
+/// Controllers with the same state cache contents make the same choice. While their caches differ, two
+/// controllers may act for the same job; this causes commit conflicts but no incorrect state.
 class JobRoles {
   public:
-    /// All must outlive this object.
+    /// All constructor arguments must outlive the JobRoles object.
     JobRoles(const Settings& settings, const StateCache& state_cache, const Membership& membership);
 
-    /// The controller that asks for placements of the job's tasks: the one that accepted the job, or while
-    /// that is away one picked by hash.
+    /// Returns the controller that requests placements for the job's tasks: the one that accepted the job, or
+    /// a live controller picked by hash while that one is not alive.
     [[nodiscard]] NodeName relay_of(const Job& job) const;
-    /// The controller through which the job's starts and ends are committed: its relay, or for a team with
-    /// limits one for all of the team's jobs. Any other may commit them too; this one does so without
-    /// conflicts.
+    /// Returns the controller that should commit the job's task starts and ends: the job's relay, or for a
+    /// team with resource limits one controller for all jobs of the team. Any controller may commit them;
+    /// using a single one avoids commit conflicts.
     [[nodiscard]] NodeName committer_of(const Job& job) const;
 
   private:
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,4 +1,4 @@
-/// Which controllers are alive, as the state cache has them.
+/// The set of live controllers according to the state cache.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -9,19 +9,21 @@
 
 namespace zincdyke {
 
-/// A view of the state cache: a controller is alive while its session's record exists. A view that is out of
-/// date shows the members of then.
+/// Answers queries about live controllers from the state cache. A controller is alive while its session
+/// record exists. If the state cache is stale, so are the results.
 class Membership {
   public:
-    /// Both must outlive this object.
+    /// Both constructor arguments must outlive the Membership object.
     Membership(const Settings& settings, const StateCache& state_cache);
 
     [[nodiscard]] bool is_live(const NodeName& node) const;
-    /// In name order; this node is among them once its own session is known.
+    /// Returns the live controllers in name order, including this one once its own session record is in the
+    /// state cache.
     [[nodiscard]] std::vector<NodeName> live_nodes() const;
-    /// The live nodes without this one.
+    /// Returns the live controllers other than this one.
     [[nodiscard]] std::vector<NodeName> live_peers() const;
-    /// How many nodes share the budgets: the live ones, at least one.
+    /// Returns the number of controllers that share the request and write budgets of the key-value store: the
+    /// number of live controllers, at least 1.
     [[nodiscard]] std::size_t budget_node_count() const;
 
   private:
--- a/src/cluster/peer_channel.h
+++ b/src/cluster/peer_channel.h
@@ -1,4 +1,4 @@
-/// How a controller's parts talk to the other controllers.
+/// Messaging between controllers.
 #pragma once
 #include <vector>
 
@@ -7,7 +7,7 @@
 
 namespace zincdyke {
 
-/// Sends messages to controllers, and tells which of them can be reached.
+/// Sends messages to other controllers and reports which of them are reachable.
 class PeerChannel {
   public:
     PeerChannel() = default;
@@ -15,12 +15,13 @@
     PeerChannel& operator=(const PeerChannel&) = delete;
     virtual ~PeerChannel() = default;
 
-    /// Best effort: a message may be lost, repeated or late. One to this node itself is delivered from the
-    /// event loop, never from within the call.
+    /// Sends a message without any delivery guarantee: it may be lost, duplicated or delayed. A message to
+    /// this controller itself is delivered from the event loop, never from within the call.
     virtual void send(const NodeName& to, wire::PeerMessage message) = 0;
-    /// Whether the peer's heartbeats arrive and say that it reaches the key-value store.
+    /// Returns whether heartbeats from the peer are arriving and report that the peer can reach the key-value
+    /// store.
     [[nodiscard]] virtual bool is_reachable(const NodeName& peer) const = 0;
-    /// This node, and the peers for which `is_reachable` holds.
+    /// Returns this controller and all peers for which `is_reachable` is true.
     [[nodiscard]] virtual std::vector<NodeName> reachable_nodes() const = 0;
 };
 
--- a/src/cluster/pending_reads.cpp
+++ b/src/cluster/pending_reads.cpp
@@ -4,7 +4,7 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration read_timeout = std::chrono::milliseconds(1700);  // users wait for 2 s
+constexpr Duration read_timeout = std::chrono::milliseconds(1700);  // below the 2 s that users wait
 constexpr std::size_t max_pending_reads = 2000;
 }  // namespace
 
@@ -15,14 +15,14 @@
 bool PendingReads::is_full() const { return reads_.size() >= max_pending_reads; }
 
 void PendingReads::complete_before(std::uint64_t end) {
-    while (!reads_.empty() && reads_.front().number < end) finish_oldest(true);
+    while (!reads_.empty() && reads_.front().number < end) complete_oldest(true);
 }
 
 void PendingReads::expire(SteadyTime now) {
-    while (!reads_.empty() && now - reads_.front().asked_at > read_timeout) finish_oldest(false);
+    while (!reads_.empty() && now - reads_.front().added_at > read_timeout) complete_oldest(false);
 }
 
-void PendingReads::finish_oldest(bool is_fresh) {
+void PendingReads::complete_oldest(bool is_fresh) {
     const Callback done = std::move(reads_.front().done);
     reads_.pop_front();
     done(is_fresh);
--- a/src/cluster/pending_reads.h
+++ b/src/cluster/pending_reads.h
@@ -1,4 +1,4 @@
-/// Questions that wait until the state cache has caught up with them.
+/// Queue of reads that wait for the state cache to catch up with the key-value store.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -8,31 +8,37 @@
 
 namespace zincdyke {
 
-/// A queue of callbacks, oldest first. One answer of the store serves all that were asked before it was
-/// requested.
+/// Callbacks of consistent reads, in the order in which they were added.
+///
+/// Reads are numbered consecutively. One response of the key-value store completes all reads that were added
+/// before the request was sent.
 class PendingReads {
   public:
-    /// `is_fresh`: the state cache holds all that was committed before the question. False: not answered in
-    /// time.
+    /// Receives the outcome of a read: `is_fresh` is true if the state cache contains everything committed
+    /// before the read was added, and false if the read timed out.
     using Callback = std::function<void(bool is_fresh)>;
 
+    /// Appends a read that starts at `now`; `done` is called exactly once.
     void add(SteadyTime now, Callback done);
     [[nodiscard]] bool empty() const { return reads_.empty(); }
+    /// Returns whether the maximum number of reads is waiting.
     [[nodiscard]] bool is_full() const;
-    /// To be taken when the store is asked: its answer serves the reads numbered below this.
+    /// Returns the number that the next added read will get. A response to a request sent now completes all
+    /// reads with lower numbers.
     [[nodiscard]] std::uint64_t next_read_number() const { return next_number_; }
-    /// Calls back all reads numbered below `end`. They may add further ones.
+    /// Removes all reads with numbers below `end` and calls their callbacks with true. A callback may add
+    /// further reads.
     void complete_before(std::uint64_t end);
-    /// Calls back, as not fresh, what has waited for too long.
+    /// Removes all reads that have timed out at `now` and calls their callbacks with false.
     void expire(SteadyTime now);
 
   private:
     struct Read {
         std::uint64_t number = 0;
-        SteadyTime asked_at;
+        SteadyTime added_at;
         Callback done;
     };
-    void finish_oldest(bool is_fresh);
+    void complete_oldest(bool is_fresh);
     std::deque<Read> reads_;
     std::uint64_t next_number_ = 0;
 };
--- a/src/cluster/rendezvous_hash.h
+++ b/src/cluster/rendezvous_hash.h
@@ -1,4 +1,4 @@
-/// Rendezvous hashing: controllers agree on who does something without asking one another.
+/// Rendezvous hashing, which lets controllers agree on the owner of a key without communicating.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,11 +7,10 @@
 
 namespace zincdyke {
 
-/// The candidate with the highest hash of `key` and its own name; empty without candidates.
-///
-/// Every controller that knows the same candidates picks the same one, whatever their order. When a candidate
-/// goes, only what it was picked for moves, and each of the others takes a share of that. Every version of
-/// the program must use the same hash: shards, relays and gatherers are picked by it during an upgrade too.
+/// Returns the candidate whose name combined with `key` has the highest hash; empty if there are no
+/// candidates. When a candidate is removed, only its keys are reassigned, spread over the remaining
+/// candidates. The hash must never change, because controllers of different versions have to agree during an
+/// upgrade.
 [[nodiscard]] NodeName pick_by_hash(const std::string& key, const std::vector<NodeName>& candidates);
 
 }  // namespace zincdyke
--- a/src/cluster/session_keeper.cpp
+++ b/src/cluster/session_keeper.cpp
@@ -8,11 +8,12 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration request_retry_delay = std::chrono::milliseconds(250);
+constexpr Duration lease_retry_delay = std::chrono::milliseconds(250);
 constexpr Duration record_retry_delay = std::chrono::milliseconds(200);
 constexpr int renewals_per_lease = 4;
 
-// Lease and takeover fit inside a worker's lease, so that running tasks outlive their controller.
+// The session lease is short enough that another controller takes over a failed controller's shards before
+// the leases of the workers expire, so running tasks survive the failover.
 Duration lease_duration(const Settings& settings) {
     return std::clamp(seconds(settings.lease_s * 0.4), millis(1500), seconds(10));
 }
@@ -78,7 +79,7 @@
 void SessionKeeper::request_lease() {
     store_.grant_lease(lease_duration_, [this](Outcome outcome, std::uint64_t lease) {
         if (outcome != Outcome::ok) {
-            env_.after(request_retry_delay, [this] { request_lease(); });
+            env_.after(lease_retry_delay, [this] { request_lease(); });
             return;
         }
         const bool is_first = lease_id_ == 0;
@@ -104,14 +105,14 @@
 
 void SessionKeeper::on_record_written(std::uint64_t lease, const CommitResult& result) {
     end_record_write();
-    if (lease != lease_id_) return write_record();  // the lease was replaced meanwhile
+    if (lease != lease_id_) return write_record();  // the lease was replaced while the commit was in flight
     if (result.outcome == Outcome::ok) {
         set_record_written();
         if (incarnation_ == Revision{}) incarnation_ = result.revision;
         log::info("event=session_opened lease={} revision={}", lease_id_, result.revision.value());
         state_cache_.apply({keys::node(settings_.node), Json::object(), result.revision});
     } else if (result.outcome == Outcome::invalid_request) {
-        replace_lease();  // the lease expired meanwhile
+        replace_lease();  // the lease expired while the commit was in flight
     } else {
         env_.after(record_retry_delay, [this] { write_record(); });
     }
@@ -125,7 +126,7 @@
             on_lost_();
             replace_lease();
         }
-        env_.after(outcome == Outcome::ok ? lease_duration_ / renewals_per_lease : request_retry_delay,
+        env_.after(outcome == Outcome::ok ? lease_duration_ / renewals_per_lease : lease_retry_delay,
                    [this] { renew_lease(); });
     });
 }
--- a/src/cluster/session_keeper.h
+++ b/src/cluster/session_keeper.h
@@ -1,4 +1,4 @@
-/// This controller's session in the key-value store.
+/// Keeps this controller's session in the key-value store open.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -10,39 +10,45 @@
 
 namespace zincdyke {
 
-/// Keeps the session by which other controllers know that this one is alive: a lease of the store, renewed
-/// four times in its life, and this node's record, tied to the lease so that it goes with it. A session that
-/// is lost is replaced by a new one.
+/// Maintains the session that shows other controllers that this one is alive.
+///
+/// A session consists of a store lease, renewed four times per lease duration, and a session record attached
+/// to the lease, so that the record is deleted when the lease expires. A lost session is replaced by a new
+/// one.
 class SessionKeeper {
   public:
-    /// The references must outlive this object. `on_lost` is called from the event loop when the lease turns
-    /// out to have expired, before a new one is asked for.
+    /// All arguments passed by reference must outlive the SessionKeeper. `on_lost` is called on the event
+    /// loop when a renewal reveals that the lease has expired, before a new lease is requested.
     SessionKeeper(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                   std::function<void()> on_lost);
 
-    /// Asks for the first lease; to be called once.
+    /// Requests the first lease. Must be called exactly once.
     void start();
-    /// Writes this node's record again although the session is open: a late message removed it.
+    /// Writes the session record again. To be called if the record has been deleted from the key-value store
+    /// although the session is open.
     void restore_record();
 
-    /// The record is written under the present lease, as far as this node knows.
+    /// Returns whether the session record has been written under the current lease and no loss of the lease
+    /// has been noticed.
     [[nodiscard]] bool is_open() const;
-    /// The present lease, or the last one while another is asked for; 0 before the first.
+    /// Returns the id of the current lease, or of the previous one while a new lease is being requested; 0
+    /// before the first lease is granted.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
-    /// Unique to this process among all that ever ran: the revision of its first session; 0 before it.
+    /// Returns a number unique to this process: the store revision at which it first wrote its session
+    /// record; 0 before that.
     [[nodiscard]] Revision incarnation() const { return incarnation_; }
 
   private:
     enum class LeaseState : std::uint8_t { none, requesting, held };
-    /// A commit's answer may come after the lease it was made under was replaced, so that the record's state
-    /// is told apart from the lease's.
+    /// The state of the session record, tracked separately from the lease because a commit response may
+    /// arrive after the lease used in the commit has been replaced.
     enum class RecordState : std::uint8_t {
         missing,
         writing,
         written,
-        rewriting  // written, and a further commit of it is under way
+        rewriting  // written, and another commit of the record is in flight
     };
-    // The transitions: no other function sets the states.
+    // State transitions. No other function changes `lease_state_` or `record_state_`.
     [[nodiscard]] bool begin_lease_request();
     void end_lease_request(std::uint64_t lease);
     [[nodiscard]] bool begin_record_write();
--- a/src/cluster/shard_leadership.cpp
+++ b/src/cluster/shard_leadership.cpp
@@ -9,7 +9,8 @@
 
 namespace zincdyke {
 namespace {
-constexpr int transfer_leases = 3;  // a shard given away is taken back after so many worker leases
+// Delay, in worker lease durations, after which a transferred shard may be reclaimed.
+constexpr int reclaim_delay_leases = 3;
 }  // namespace
 
 ShardLeadership::ShardLeadership(Env& env, const Settings& settings, StoreClient& store,
@@ -23,20 +24,22 @@
       observer_(observer),
       on_claimed_(std::move(on_claimed)),
       all_nodes_(settings.all_nodes()),
-      local_(state_cache.shards().size()) {}
+      shard_states_(state_cache.shards().size()) {}
 
 std::optional<Term> ShardLeadership::term(std::uint32_t shard) const {
-    if (shard >= local_.size() || !local_[shard].claimed) return std::nullopt;
+    if (shard >= shard_states_.size() || !shard_states_[shard].claimed_term) return std::nullopt;
     const Shard& record = state_cache_.shards()[shard];
-    // Claims count once the cache holds them: everything an earlier leader committed is then known too.
-    if (record.leader != settings_.node || record.term != *local_[shard].claimed) return std::nullopt;
-    return local_[shard].claimed;
+    // A claim counts only once it is in the state cache, because the cache then also contains everything that
+    // earlier leaders committed.
+    if (record.leader != settings_.node || record.term != *shard_states_[shard].claimed_term)
+        return std::nullopt;
+    return shard_states_[shard].claimed_term;
 }
 
 void ShardLeadership::announce_changes() {
-    for (std::uint32_t shard = 0; shard < local_.size(); ++shard) {
+    for (std::uint32_t shard = 0; shard < shard_states_.size(); ++shard) {
         const bool leads = term(shard).has_value();
-        const bool was_announced = std::exchange(local_[shard].is_announced, leads);
+        const bool was_announced = std::exchange(shard_states_[shard].is_announced, leads);
         if (leads && !was_announced) observer_.on_leadership_acquired(shard);
         if (!leads && was_announced) {
             const Shard& record = state_cache_.shards()[shard];
@@ -48,37 +51,39 @@
 
 void ShardLeadership::claim_shards(Revision incarnation) {
     const auto live_nodes = membership_.live_nodes();
-    for (std::uint32_t shard = 0; shard < local_.size(); ++shard) {
+    for (std::uint32_t shard = 0; shard < shard_states_.size(); ++shard) {
         if (term(shard)) continue;
-        forget_old_transfer(shard);
+        expire_transfer(shard);
         if (should_lead(shard, live_nodes) && !is_claim_awaiting_watch(shard) &&
-            local_[shard].record_write == RecordWrite::none)
+            shard_states_[shard].record_write == RecordWrite::none)
             claim(shard, incarnation);
     }
 }
 
-void ShardLeadership::forget_old_transfer(std::uint32_t shard) {
-    auto& transferred_at = local_[shard].transferred_at;
-    if (transferred_at && (env_.now() - *transferred_at > seconds(settings_.lease_s * transfer_leases) ||
+void ShardLeadership::expire_transfer(std::uint32_t shard) {
+    auto& transferred_at = shard_states_[shard].transferred_at;
+    if (transferred_at && (env_.now() - *transferred_at > seconds(settings_.lease_s * reclaim_delay_leases) ||
                            !membership_.is_live(state_cache_.shards()[shard].leader)))
         transferred_at.reset();
 }
 
 bool ShardLeadership::should_lead(std::uint32_t shard, const std::vector<NodeName>& live_nodes) const {
     const NodeName& leader = state_cache_.shards()[shard].leader;
-    // What an earlier process of this node led is ours to claim, whoever the hash names now: back before its
-    // session expired, we look alive to the others, and nobody else would.
+    // A shard led by an earlier process of this controller is always reclaimed. If this process restarted
+    // before the old session expired, the other controllers see the leader as alive and do not claim the
+    // shard.
     if (leader == settings_.node) return true;
-    // A node that is back takes its own shard back itself, at once.
+    // The home controller of a shard reclaims it as soon as it is back, even if another leader is alive.
     const NodeName& home = all_nodes_[shard % all_nodes_.size()];
-    if (home == settings_.node && !local_[shard].transferred_at) return true;
+    if (home == settings_.node && !shard_states_[shard].transferred_at) return true;
     if (membership_.is_live(home) || membership_.is_live(leader)) return false;
     return pick_by_hash(keys::shard(shard), live_nodes) == settings_.node;
 }
 
-// A claim just won is in the cache only when the watch brings it.
+// Returns whether a successful claim has not reached the state cache through the watch yet.
 bool ShardLeadership::is_claim_awaiting_watch(std::uint32_t shard) const {
-    return local_[shard].claimed && *local_[shard].claimed > state_cache_.version(keys::shard(shard));
+    return shard_states_[shard].claimed_term &&
+           *shard_states_[shard].claimed_term > state_cache_.version(keys::shard(shard));
 }
 
 void ShardLeadership::write_leader(std::uint32_t shard, const NodeName& leader, Revision incarnation,
@@ -91,31 +96,33 @@
 }
 
 void ShardLeadership::claim(std::uint32_t shard, Revision incarnation) {
-    local_[shard].record_write = RecordWrite::claiming;
+    shard_states_[shard].record_write = RecordWrite::claiming;
     write_leader(shard, settings_.node, incarnation, [this, shard](const CommitResult& result) {
-        local_[shard].record_write = RecordWrite::none;
-        // A claim without an answer that went through is seen as a record of ours without a claim, and is
-        // claimed again under a term of its own.
+        shard_states_[shard].record_write = RecordWrite::none;
+        // If a claim is executed but its response is lost, the record names this controller while no claimed
+        // term is known. The shard is then claimed again, under a new term.
         if (result.outcome != Outcome::ok) return;
-        local_[shard].claimed = result.revision;
+        shard_states_[shard].claimed_term = result.revision;
         log::info("event=shard_claimed shard={} term={} from={}", shard, result.revision.value(),
                   state_cache_.shards()[shard].leader.value());
-        // Not applied to the cache here: the watch brings it after all that came before it. Perhaps it has by
-        // now.
+        // The record is applied to the state cache by the watch, not here, so that all earlier changes are
+        // applied first. The watch may already have delivered it.
         on_claimed_();
     });
 }
 
 void ShardLeadership::transfer(std::uint32_t shard, Revision incarnation) {
     const auto peers = membership_.live_peers();
-    if (peers.empty() || local_[shard].record_write != RecordWrite::none) return;
-    local_[shard].record_write = RecordWrite::transferring;
-    const NodeName to = pick_by_hash(keys::shard(shard) + "+", peers);
-    local_[shard].transferred_at = env_.now();
-    log::warn("event=shard_leadership_transferred shard={} to={} reason=no_heartbeats", shard, to.value());
-    // Named leader, the other one claims it under a term of its own.
-    write_leader(shard, to, incarnation,
-                 [this, shard](const CommitResult&) { local_[shard].record_write = RecordWrite::none; });
+    if (peers.empty() || shard_states_[shard].record_write != RecordWrite::none) return;
+    shard_states_[shard].record_write = RecordWrite::transferring;
+    const NodeName new_leader = pick_by_hash(keys::shard(shard) + "+", peers);
+    shard_states_[shard].transferred_at = env_.now();
+    log::warn("event=shard_leadership_transferred shard={} to={} reason=no_heartbeats", shard,
+              new_leader.value());
+    // The new leader finds itself in the record and claims the shard under its own term.
+    write_leader(shard, new_leader, incarnation, [this, shard](const CommitResult&) {
+        shard_states_[shard].record_write = RecordWrite::none;
+    });
 }
 
 }  // namespace zincdyke
--- a/src/cluster/shard_leadership.h
+++ b/src/cluster/shard_leadership.h
@@ -1,4 +1,4 @@
-/// Which shards this controller leads.
+/// Leadership of shards: which shards this controller leads, and under which terms.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,39 +14,45 @@
 
 namespace zincdyke {
 
-/// Claims shards for this controller and gives them away.
+/// Claims shards for this controller and transfers them to others.
 ///
-/// One record of the store names each shard's leader; its version is the leader's term. Each shard has a home
-/// controller, which leads it while it is alive; otherwise it goes to a live one picked by hash.
+/// The key-value store has one record per shard that names the shard's leader; the record's version is the
+/// leader's term. Each shard has a home controller, which leads the shard while it is alive. Otherwise a live
+/// controller picked by hash leads the shard.
 class ShardLeadership {
   public:
-    /// The references must outlive this object. `on_claimed` is called from the event loop when a claim was
-    /// committed; it is to end in `announce_changes`.
+    /// All arguments passed by reference must outlive the ShardLeadership. `on_claimed` is called on the
+    /// event loop after a claim has been committed, and must call `announce_changes`.
     ShardLeadership(Env& env, const Settings& settings, StoreClient& store, const StateCache& state_cache,
                     const Membership& membership, ClusterObserver& observer,
                     std::function<void()> on_claimed);
 
-    /// Claims what this controller ought to lead. To be called regularly, while the state cache is up to date
-    /// and the session is open. `incarnation` is this process's: it goes into the records.
+    /// Claims all shards that this controller should lead and does not lead yet. Must be called periodically
+    /// while the state cache is up to date and the session is open. `incarnation` identifies this process in
+    /// the leader records.
     void claim_shards(Revision incarnation);
-    /// Names another live controller leader of the shard; does nothing if there is none. That one then claims
-    /// the shard under a term of its own. To be called while the state cache is up to date.
+    /// Writes another live controller into the shard's leader record; does nothing if there is no other live
+    /// controller. The new leader then claims the shard under its own term. Must only be called while the
+    /// state cache is up to date.
     void transfer(std::uint32_t shard, Revision incarnation);
-    /// The state cache may have changed: tells the observer of shards that this node leads since then.
+    /// Notifies the observer of each shard that this controller has started to lead since the last call. Must
+    /// be called after changes of the state cache.
     void announce_changes();
-    /// This node's term of a shard that it leads, as far as it knows.
+    /// Returns this controller's term as leader of the shard, or nothing if it does not lead the shard
+    /// according to the state cache.
     [[nodiscard]] std::optional<Term> term(std::uint32_t shard) const;
 
   private:
     enum class RecordWrite : std::uint8_t { none, claiming, transferring };
-    /// What this process knows of a shard beside the record.
+    /// The state of one shard that is known to this process only, in addition to the leader record.
     struct LocalState {
-        std::optional<Term> claimed;               // by this process's newest successful claim
-        std::optional<SteadyTime> transferred_at;  // while the shard is left to the one it was given to
+        std::optional<Term> claimed_term;  // term of this process's latest successful claim
+        // Time of the last transfer; not set once this controller may reclaim the shard.
+        std::optional<SteadyTime> transferred_at;
         RecordWrite record_write = RecordWrite::none;
         bool is_announced = false;
     };
-    void forget_old_transfer(std::uint32_t shard);
+    void expire_transfer(std::uint32_t shard);
     [[nodiscard]] bool should_lead(std::uint32_t shard, const std::vector<NodeName>& live_nodes) const;
     [[nodiscard]] bool is_claim_awaiting_watch(std::uint32_t shard) const;
     void claim(std::uint32_t shard, Revision incarnation);
@@ -61,7 +67,7 @@
     ClusterObserver& observer_;
     const std::function<void()> on_claimed_;
     const std::vector<NodeName> all_nodes_;
-    std::vector<LocalState> local_;  // by shard
+    std::vector<LocalState> shard_states_;  // indexed by shard number
 };
 
 }  // namespace zincdyke
--- a/src/cluster/state_watcher.h
+++ b/src/cluster/state_watcher.h
@@ -1,4 +1,4 @@
-/// Keeps the state cache in step with the key-value store.
+/// Keeps the state cache synchronized with the key-value store.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,21 +16,23 @@
 
 namespace zincdyke {
 
-/// Reads all records once by a list, follows them by one watch, and knows whether the cache may be relied on.
+/// Loads all records into the state cache with a list request, then follows changes with one watch at a time,
+/// and tracks whether the state cache is up to date.
 class StateWatcher {
   public:
-    /// The references must outlive this object. `on_loaded` is called from the event loop after each list was
-    /// read in full and the watch goes on from there.
+    /// All arguments passed by reference must outlive the StateWatcher. `on_loaded` is called on the event
+    /// loop each time a complete list has been applied to the state cache and the watch has been started.
     StateWatcher(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                  const Membership& membership, ClusterObserver& observer, std::function<void()> on_loaded);
 
-    /// Begins to read; to be called once.
+    /// Starts loading the state cache. Must be called exactly once.
     void start();
-    /// Nothing is decided on what is known until the store has been read again.
+    /// Marks the state cache as stale until the key-value store has been read again.
     void invalidate() { view_.on_invalidated(); }
     /// See ClusterCoordinator::await_fresh_state.
     void await_fresh_state(PendingReads::Callback done);
 
+    /// Returns whether the key-value store has been read completely at least once.
     [[nodiscard]] bool is_loaded() const { return view_.is_loaded(); }
     /// See ClusterCoordinator::is_up_to_date.
     [[nodiscard]] bool is_up_to_date() const;
@@ -38,14 +40,14 @@
   private:
     void detect_stalls();
     void load();
-    void load_page(const std::string& after, Revision from, SteadyTime asked_at);
-    void on_list_read(Revision from, SteadyTime asked_at);
+    void load_page(const std::string& after, Revision first_page_revision, SteadyTime sent_at);
+    void on_list_read(Revision first_page_revision, SteadyTime sent_at);
     void reload();
     void watch();
-    void on_watch_answered(const ListResult& result, SteadyTime sent, bool has_reads,
+    void on_watch_response(const ListResult& result, SteadyTime sent_at, bool has_reads,
                            std::uint64_t reads_end);
     void watch_after(Duration delay);
-    void apply(const ListResult& news, SteadyTime sent);
+    void apply(const ListResult& result, SteadyTime sent_at);
     void schedule_read();
     void send_read();
     [[nodiscard]] Duration watch_pause() const;
@@ -58,15 +60,15 @@
     ClusterObserver& observer_;
     const std::function<void()> on_loaded_;
     ViewState view_;
-    SteadyTime last_awake_{};      // the process ran its timers then
-    std::vector<KeyUpdate> list_;  // read so far by the list under way
-    enum class WatchPhase : std::uint8_t { pausing, awaiting_answer };
+    SteadyTime last_stall_check_{};
+    std::vector<KeyUpdate> list_items_;  // records received so far by the list in progress
+    enum class WatchPhase : std::uint8_t { pausing, awaiting_response };
     WatchPhase watch_phase_ = WatchPhase::pausing;
-    std::uint64_t watch_generation_ = 0;  // answers and timers of earlier ones are ignored
-    int watch_failures_ = 0;              // on end, while the store answers others
+    std::uint64_t watch_generation_ = 0;  // incremented to ignore responses and timers of earlier watches
+    int watch_failures_ = 0;              // consecutive failures of the watch while the store is reachable
     PendingReads reads_;
-    Env::TimerId read_timer_ = 0;  // 0: none
-    SteadyTime last_read_{};
+    Env::TimerId read_timer_ = 0;  // timer of the next scheduled read; 0 if none is scheduled
+    SteadyTime last_read_sent_{};
 };
 
 }  // namespace zincdyke
--- a/src/cluster/view_state.h
+++ b/src/cluster/view_state.h
@@ -1,55 +1,58 @@
-/// Whether the state cache may be relied on.
+/// State machine that tracks whether the state cache is current.
 #pragma once
 #include <cstdint>
 
 namespace zincdyke {
 
-/// The state machine of StateWatcher: what the state cache is worth. All transitions are here.
+/// Tracks whether the contents of the state cache are current, on behalf of StateWatcher.
 ///
-/// A view from before a cut is not acted on until the store has been read again: back from one, a leader of
-/// the autoscaler took machines that others had long taken over for silent ones.
+/// After a network partition or a stall of the process, no decision may be based on the state cache until the
+/// key-value store has been read again. For example, a stale autoscaler leader could terminate machines that
+/// other controllers use.
 class ViewState {
   public:
     enum class State : std::uint8_t {
-        loading,      // the first list is being read: nothing is known yet
-        current,      // the watch has been complete since the last read
-        stale,        // cut off, stalled or without a session since the last complete read
-        catching_up,  // stale, and a watch that will be answered at once is under way
-        reloading     // the watch can't go on from what is known: the list is being read again
+        loading,      // the first list is being read, and the state cache is not usable yet
+        current,      // the watch has delivered all changes since the last complete read
+        stale,        // the store was unreachable, the process stalled or the session was lost
+        catching_up,  // stale, with a watch in flight that the store answers immediately
+        reloading     // the watch cannot be continued, and the list is being read again
     };
 
     [[nodiscard]] State state() const { return state_; }
-    /// Read in full at least once.
+    /// Returns whether the key-value store has been read completely at least once.
     [[nodiscard]] bool is_loaded() const { return state_ != State::loading; }
-    [[nodiscard]] bool is_list_under_way() const {
+    [[nodiscard]] bool is_list_in_progress() const {
         return state_ == State::loading || state_ == State::reloading;
     }
     [[nodiscard]] bool is_current() const { return state_ == State::current; }
 
-    /// A list was read in full.
+    /// To be called when a list has been read completely.
     void on_loaded() { state_ = State::current; }
-    /// The watch can't go on; the list is read again.
+    /// To be called when the watch cannot be continued and the list is read again.
     void on_reload() {
         if (state_ != State::loading) state_ = State::reloading;
     }
-    /// What is known may be out of date by now. A list under way will make up for it.
+    /// To be called when the state cache may have missed changes. Has no effect while a list is being read,
+    /// because the list will contain them.
     void on_invalidated() {
-        if (!is_list_under_way()) state_ = State::stale;
+        if (!is_list_in_progress()) state_ = State::stale;
     }
-    /// Whether a watch must be sent to catch up: a stale view for which none is under way.
+    /// Returns whether a watch must be sent to refresh a stale state cache, and if so records that one is in
+    /// flight.
     [[nodiscard]] bool begin_catch_up() {
         if (state_ != State::stale) return false;
         state_ = State::catching_up;
         return true;
     }
-    /// The watch was answered, or failed. True: it was one to catch up, and its answer, once it has been
-    /// applied, makes the view current.
+    /// To be called when a watch has completed or failed. Returns true if the watch was sent to refresh a
+    /// stale state cache; if it succeeded, `on_caught_up` must be called after its response has been applied.
     [[nodiscard]] bool end_catch_up() {
         if (state_ != State::catching_up) return false;
         state_ = State::stale;
         return true;
     }
-    /// The answer to the watch that was to catch up has been applied.
+    /// To be called when the response to a watch that refreshes a stale state cache has been applied.
     void on_caught_up() {
         if (state_ == State::stale) state_ = State::current;
     }
--- a/src/cluster/write_budget_share.cpp
+++ b/src/cluster/write_budget_share.cpp
@@ -10,17 +10,18 @@
 
 void WriteBudgetShare::update(double own_demand, const std::map<NodeName, double>& peer_demands) {
     double total_demand = own_demand;
-    std::size_t nodes = 1;  // this one counts, whether or not its session is known
-    std::size_t silent = 0;
+    std::size_t nodes = 1;  // this controller counts even if its session record is not in the state cache
+    std::size_t silent_peers = 0;
     for (const auto& [node, revision] : state_cache_.live_nodes()) {
         if (node == settings_.node) continue;
         ++nodes;
         if (const auto demand = peer_demands.find(node); demand != peer_demands.end())
             total_demand += demand->second;
         else
-            ++silent;
+            ++silent_peers;
     }
-    total_demand += total_demand / static_cast<double>(nodes - silent) * static_cast<double>(silent);
+    total_demand +=
+        total_demand / static_cast<double>(nodes - silent_peers) * static_cast<double>(silent_peers);
     const double even_share = 1.0 / static_cast<double>(nodes);
     write_share_ = total_demand > 0 ? 0.5 * even_share + 0.5 * own_demand / total_demand : even_share;
     store_.set_budget_share(even_share, write_share_);
--- a/src/cluster/write_budget_share.h
+++ b/src/cluster/write_budget_share.h
@@ -1,4 +1,4 @@
-/// This controller's share of the key-value store's request and write budgets.
+/// Division of the key-value store's request and write budgets among controllers.
 #pragma once
 #include <map>
 
@@ -10,22 +10,22 @@
 
 namespace zincdyke {
 
-/// Tells the store client which parts of the budgets it may spend.
+/// Computes this controller's share of the store's request and write budgets and sets it in the store client.
 ///
-/// Requests are split evenly among the live controllers. Half of the writes is split evenly, the rest by what
-/// each has to commit: with a fixed split one node's jobs waited for writes while half of the budget was
-/// never used.
+/// The request budget is split evenly among the live controllers. Half of the write budget is split evenly,
+/// and the other half in proportion to the pending writes of each controller.
 class WriteBudgetShare {
   public:
-    /// All must outlive this object.
+    /// All constructor arguments must outlive the WriteBudgetShare.
     WriteBudgetShare(const Settings& settings, StoreClient& store, const StateCache& state_cache,
                      const Membership& membership);
 
-    /// What this node and its peers have to commit, in writes, by the latest peer heartbeats. Peers missing
-    /// from `peer_demands` are silent and count as average ones.
+    /// Recomputes the shares from the pending writes of this controller and of its peers, the latter as
+    /// reported in peer heartbeats. A live peer missing from `peer_demands` counts with the average demand of
+    /// the others.
     void update(double own_demand, const std::map<NodeName, double>& peer_demands);
-    /// The number of live nodes may have changed: the even share follows at once, the share by demand with
-    /// the next update.
+    /// To be called when the number of live controllers may have changed. Updates the even shares
+    /// immediately; the demand-based share changes with the next `update`.
     void on_membership_changed();
 
   private:
@@ -33,7 +33,7 @@
     StoreClient& store_;
     const StateCache& state_cache_;
     const Membership& membership_;
-    double write_share_ = 0;  // 0: demand is not known yet, the writes are split evenly
+    double write_share_ = 0;  // share of the write budget, at most 1; 0 before the first `update`
 };
 
 }  // namespace zincdyke
--- a/src/sched/placement_constraints.h
+++ b/src/sched/placement_constraints.h
@@ -1,4 +1,4 @@
-/// Which machines a job's tasks may be placed on.
+/// Constraints of a job on the machines that its tasks may be placed on.
 #pragma once
 #include <compare>
 #include <optional>
@@ -9,16 +9,16 @@
 
 namespace zincdyke::sched {
 
-/// What a job asks of its machines apart from the room that they need to have free.
+/// The constraints of a job on its machines, other than the resources that its tasks need.
 ///
-/// Jobs with equal constraints, and needs that fit, can be placed on the same machines. The type is a key for
-/// maps that group such jobs; users add to it what else has to be alike for their purpose.
+/// Jobs with equal constraints can be placed on the same machines if their tasks fit. The type serves as part
+/// of map keys that group such jobs.
 struct PlacementConstraints {
-    bool spot = false;                              ///< Spot machines will do as well.
-    std::optional<std::vector<std::string>> types;  ///< Machine types; nothing: any.
-    std::optional<std::string> zone;                ///< Nothing: any.
+    bool spot = false;                              ///< Whether spot machines are allowed.
+    std::optional<std::vector<std::string>> types;  ///< Allowed machine types; any type if not set.
+    std::optional<std::string> zone;                ///< Required zone; any zone if not set.
 
-    /// The constraints that a job was submitted with.
+    /// Returns the constraints with which a job was submitted.
     static PlacementConstraints of(const wire::JobSpec& spec) { return {spec.spot, spec.types, spec.zone}; }
 
     auto operator<=>(const PlacementConstraints&) const = default;
--- a/src/sched/placement_rules.h
+++ b/src/sched/placement_rules.h
@@ -1,4 +1,4 @@
-// Pure placement logic: no sockets, no clock, no store.
+/// Placement decisions as pure functions, which use no sockets, clocks or key-value store.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,80 +11,105 @@
 
 namespace zincdyke::sched {
 
-// A machine as its owner's scorer sees it.
+/// A machine on which a scorer may place tasks of the job being scored.
 struct Candidate {
     MachineId id;
     std::string zone;
     Resources free, total;
-    bool has_image = false;
-    int failure_penalty = 0;      // recent troubles
-    TaskIndex replica_count = 0;  // of the job that asks, a service: one lost machine should take few of them
+    bool has_image = false;   ///< Whether the machine has the job's image or is fetching it.
+    int failure_penalty = 0;  ///< Penalty for recent task failures on the machine; 0 if there were none.
+    /// Number of the job's replicas on the machine if the job is a service, otherwise 0.
+    TaskIndex replica_count = 0;
 };
 
-// How many tasks with this need the room takes.
-std::size_t tasks_that_fit(const Resources& room, const Resources& need);
-// Whether a task of the job fits the type, and may run on it.
-bool type_allowed(const wire::JobSpec& s, const wire::MachineType& t);
-// GPUs are kept for those who need them, as long as another type would do.
-bool should_use_type(const wire::JobSpec& s, const wire::MachineType& t,
+/// Returns how many tasks that need `need` each fit into `available`.
+std::size_t tasks_that_fit(const Resources& available, const Resources& need);
+/// Returns whether the job allows the machine type and one of its tasks fits on an empty machine of that
+/// type.
+bool type_allowed(const wire::JobSpec& spec, const wire::MachineType& type);
+/// Returns false if `type` has GPUs that the job does not need and another allowed type has none. GPU
+/// machines are thus kept free for jobs that need GPUs.
+bool should_use_type(const wire::JobSpec& spec, const wire::MachineType& type,
                      const std::vector<wire::MachineType>& types);
-// May a task of this job use a machine that is reserved for a class of this rank?
+/// The terms under which a machine is reserved for a class of jobs or for a single job.
 struct Reservation {
     std::string job_class;
+    /// Lowest rank of the jobs of `job_class` that the machine is reserved for.
     wire::Rank rank = wire::Rank::standard;
+    /// Longest checkpoint time, in seconds, of preemptible tasks that may use the machine meanwhile; 0 if no
+    /// such tasks may.
     double max_save_s = 0;
-    JobId job = {};  // kept for this one alone
+    /// The only job that may use the machine; empty if the reservation is for a class.
+    JobId job = {};
 };
-bool may_use_reserved(const wire::JobSpec& s, const Reservation& r);
-// A task of this job may be stopped for that class, and loses no work by it.
-bool can_be_preempted_for(const wire::JobSpec& s, const Reservation& r);
-bool machine_allowed(const wire::JobSpec& s, const std::optional<std::string>& pin, const std::string& type,
-                     const std::string& zone, bool spot);
+/// Returns whether tasks of the job may be placed on a machine with this reservation.
+bool may_use_reserved(const wire::JobSpec& spec, const Reservation& reservation);
+/// Returns whether tasks of the job can be preempted for the reservation without losing work: the job is an
+/// array of lower rank whose tasks save checkpoints, within the time that the reservation allows.
+bool can_be_preempted_for(const wire::JobSpec& spec, const Reservation& reservation);
+/// Returns whether the job's constraints and `required_zone` allow a machine of the given type in the given
+/// zone, which is a spot machine if `spot` is set. Without a `required_zone`, only the job's own zone
+/// constraint applies.
+bool machine_allowed(const wire::JobSpec& spec, const std::optional<std::string>& required_zone,
+                     const std::string& type, const std::string& zone, bool spot);
 
-// True when `a` comes before `b` for a place that both could take: by rank, then by age. Ages closer than the
-// clocks' skew and a round of placement are no order.
-bool has_precedence(const Job& a, const Job& b, double apart_s);
+/// Returns whether job `a` has precedence over job `b` for a machine that both could use: by higher rank,
+/// then by earlier submission. Submissions less than `min_age_gap_s` apart have no order, because clocks
+/// differ and a placement round takes time.
+bool has_precedence(const Job& a, const Job& b, double min_age_gap_s);
 
-// True when `a` has fewer kinds of machines to go to than `b`: what fits few types goes first there, and
-// leaves the rest to those that have a choice. By the types alone, GPU machines not counted where others
-// would do.
+/// Returns whether the machine types that job `a` should use are a proper subset of those that job `b` should
+/// use. Such a job is placed first on its types, because `b` can use other types as well.
 bool has_fewer_types(const wire::JobSpec& a, const wire::JobSpec& b,
                      const std::vector<wire::MachineType>& types);
 
-// Holders of the image first, then the most free room once the task is there. A service's second replica on a
-// machine counts for less than another holder's first, a third for less than a machine without the image.
-std::int64_t score(const Candidate& c, const Resources& need, const Resources& largest);
+/// Returns the score of a candidate for a task that needs `need`; higher is better. `largest` is the maximum
+/// of each resource over all candidates. A cached image counts most, then free capacity after placement. Each
+/// existing replica lowers the score: a second replica on a machine with the image scores below a first
+/// replica on another one, a third below a first on a machine without the image.
+std::int64_t score(const Candidate& candidate, const Resources& need, const Resources& largest);
 
+/// Options of `make_offers`.
 struct OfferOptions {
-    bool is_limit_per_zone = false;  // up to so many offers from each zone
-    bool spread_replicas = false;    // the tasks are a service's
+    /// Whether `max_offers` limits the offers in each zone instead of in total.
+    bool is_limit_per_zone = false;
+    /// Whether to spread the tasks over machines, as for the replicas of a service.
+    bool spread_replicas = false;
 };
-// Up to `tasks` offers, best first; the room of each is taken from the candidates.
+/// Returns up to `max_offers` offers of resources `need` each. The next offer always comes from the candidate
+/// with the highest score at that point, and `need` is deducted from its free resources.
 std::vector<wire::PlacementOffer> make_offers(std::vector<Candidate>& candidates, const Resources& need,
-                                              std::size_t tasks, OfferOptions options = {});
+                                              std::size_t max_offers, OfferOptions options = {});
 
-// Tasks of a `spread` job that one zone may hold: of these tasks, and of those on one page.
+/// Returns how many of `tasks` tasks may be in the same zone if their job must be spread over zones: half of
+/// them, rounded up.
 TaskIndex max_tasks_per_zone(TaskIndex tasks);
 
+/// A placement offer together with the controller that made it.
 struct ScoredOffer {
     wire::PlacementOffer offer;
     NodeName scorer;
 };
-// The gatherer's choice: top scores, ties at random. A gang gets all or nothing. For a job of one zone it is
-// the zone that can take most of the tasks, and of those the one with the best scores.
+/// Assigns tasks to the offers with the highest scores, with ties broken at random, and returns the
+/// assignments by scorer. If `all_or_nothing` is set, as for a gang, returns none unless all tasks are
+/// assigned. No zone gets more than `max_per_zone` tasks, if set. If `one_zone` is set, all tasks go to the
+/// zone with offers for the most tasks and, among equal ones, the highest total score.
 std::map<NodeName, std::vector<wire::Assignment>> choose_offers(std::vector<ScoredOffer> offers,
                                                                 const std::vector<TaskIndex>& tasks,
-                                                                bool whole, std::optional<TaskIndex> per_zone,
+                                                                bool all_or_nothing,
+                                                                std::optional<TaskIndex> max_per_zone,
                                                                 std::mt19937_64& rng, bool one_zone = false);
 
-// What a gang's tasks may do next.
+/// The progress of a gang's latest attempt.
 struct GangState {
-    Attempt attempt = 0;  // the newest
-    bool failed = false;  // a member of it ended before all were done
-    TaskIndex placed = 0;
+    Attempt latest_attempt = 0;  ///< Highest attempt number of any unfinished task; 0 if none has started.
+    bool failed = false;         ///< Whether a task of the latest attempt ended before all tasks were done.
+    TaskIndex placed_tasks = 0;
 };
-GangState gang_state(const Job& j);
-// The number that a task's next start bears; nothing when none may start now.
-std::optional<Attempt> next_attempt(const Job& j, const TaskState& t);
+/// Returns the state of a gang's latest attempt, derived from the states of the gang's tasks.
+GangState gang_state(const Job& job);
+/// Returns the attempt number for the next start of the task, or nothing if the task must not start now
+/// because tasks of a failed gang attempt are still placed.
+std::optional<Attempt> next_attempt(const Job& job, const TaskState& task);
 
 }  // namespace zincdyke::sched
--- a/src/sched/spread.h
+++ b/src/sched/spread.h
@@ -1,5 +1,7 @@
-// The rule that at most half of a job's tasks may be in one zone, kept page by page: no commit names more
-// than a page's own record.
+/// Limits on how many tasks of a job may be in one zone.
+///
+/// At most half of the tasks of a job that must be spread over zones may be in the same zone. The limit is
+/// enforced for each page of tasks separately, so that a commit needs to involve only the record of one page.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,14 +10,15 @@
 
 namespace zincdyke::sched {
 
-// Whether one more task of the page may be placed in the zone. Each page keeps to half of its own tasks, the
-// first rounding up: together they keep to half of all.
+/// Returns whether one more task of a page may be placed in the zone without exceeding half of the page's
+/// tasks. `page` is the number of the page. Half of an odd number is rounded up on the first page and down on
+/// the others, so that the whole job also stays within half.
 bool is_below_zone_limit(const std::vector<TaskState>& page_tasks, std::uint32_t page,
                          const std::string& zone);
 
-// Whether every page of the job keeps to its half. A page that became smaller may hold more tasks of a zone,
-// from when it was part of a larger one; until enough of them have ended no other page may use up its half.
-// Once a page keeps to its half it does so for good.
-bool all_pages_within_zone_limit(const Job& j);
+/// Returns whether no page of the job has more than its limit of placed tasks in any zone. A page can exceed
+/// the limit only after the job's page size was reduced, and no task of the job may be placed until all pages
+/// are within their limits again. Pages within their limits remain so.
+bool all_pages_within_zone_limit(const Job& job);
 
 }  // namespace zincdyke::sched
--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -121,7 +121,7 @@
     view.on_loaded();
     view.on_reload();
     EXPECT_TRUE(view.is_loaded());
-    EXPECT_TRUE(view.is_list_under_way());
+    EXPECT_TRUE(view.is_list_in_progress());
     view.on_invalidated();
     EXPECT_EQ(view.state(), ViewState::State::reloading);
     view.on_loaded();
