--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -18,13 +18,14 @@
 // data.
 constexpr double min_list_interval_s = 2, calls_per_list = 2, lists_per_lag = 3;
 
-// A running task's expected remaining run time, as a share of its whole run time, with a minimum.
+// Expected remaining run time of a running task: a share of its whole run time, but at least a minimum.
 constexpr double remaining_run_share = 0.7, min_remaining_run_s = 3;
 // Time until a machine that the cloud lists as running is expected to have sent its first heartbeat.
 constexpr double assumed_heartbeat_delay_s = 1;
 // How long the plan uses a running machine from which no heartbeat has been received.
 constexpr double max_usable_without_heartbeat_s = 5;
-// Added to the lease and the silent grace period before a machine that never sent a heartbeat is terminated.
+// Additional time, after the lease and the policy's silent grace period, before a machine that never sent a
+// heartbeat is terminated.
 constexpr double no_heartbeat_margin_s = 10;
 // Grace period after the lease for a machine from which its current leader never received a heartbeat.
 constexpr double never_seen_grace_s = 3;
@@ -65,7 +66,8 @@
         if (!inventory_.was_terminated(machine.id)) {
             inventory_.record_report(from, machine, now);
         } else if (machine.busy_tasks > 0 && cluster_.is_autoscaler_leader()) {
-            // The leader has missed the notification of the termination, as it still reports tasks there.
+            // The machine's leader still reports tasks there, so it has missed the notification of the
+            // machine's termination.
             peers_.send(from, wire::MachinesTerminatedNotification{{machine.id}});
         }
     }
@@ -210,7 +212,7 @@
     terminate_faulty(std::move(faulty));
 }
 
-// Adds the usable machines to the plan's input, and collects the faulty ones.
+// Adds the usable machines to the plan's input, and adds the machines to terminate to `faulty`.
 void Autoscaler::add_machines(autoscaler::PlanInput& input, FaultyMachines& faulty, SteadyTime now) {
     for (auto& [id, machine] : inventory_.machines()) {
         if (machine.is_terminating || inventory_.was_terminated(id)) continue;
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,4 +1,5 @@
-/// The autoscaler: the elected autoscaler leader scales out for waiting tasks and scales in idle machines.
+/// Scaling of the cluster: the elected autoscaler leader provisions machines for waiting tasks and terminates
+/// machines that are no longer needed.
 #pragma once
 #include <set>
 #include <string>
@@ -90,7 +91,7 @@
     bool has_read_list_ = false;     // the machine list has been read completely since activation
     bool is_deleting_page_ = false;  // the deletion of an orphaned page is pending
     SteadyTime active_since_{}, next_list_at_{}, next_types_read_at_{};
-    std::set<MachineId> drained_machines_;  // to be terminated together at the next tick
+    std::set<MachineId> drained_machines_;  // machines to be terminated together at the next tick
 };
 
 }  // namespace zincdyke
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -13,7 +13,8 @@
 // Maximum time in which a preempted task on a reserved machine must save its checkpoint, as a share of the
 // wait objective and in seconds.
 constexpr double max_save_share_of_objective = 0.4, max_save_s = 10;
-// Minimum share in a service class's demand at which capacity is reserved on machines that cache an image.
+// An image with a smaller share in a service class's demand gets no reserved capacity on machines that cache
+// it.
 constexpr double min_image_share = 0.1;
 // Maximum number of standby machines of a class: the larger of this number and this share of all machines.
 constexpr double min_standby_limit = 50;
@@ -22,9 +23,10 @@
 // Costs of reservation candidates; the candidate with the lowest cost is reserved first.
 constexpr double runs_class_cost = 0;
 constexpr double being_preempted_cost = 0.5;
-constexpr double idle_cost = 2;  // before subtracting the cached image share, which is at most 1
+constexpr double idle_cost = 2;  // of an idle machine, before subtracting its cached image share (0 to 1)
 constexpr double idle_reserved_discount = 0.1;
-constexpr double busy_reserved_cost = 3, busy_cost = 4;  // before adding the preemption cost
+constexpr double busy_reserved_cost = 3,
+                 busy_cost = 4;  // of a busy machine, before adding its preemption cost
 constexpr double not_preemptible_cost = 1e6;
 }  // namespace
 
@@ -112,7 +114,7 @@
     return demand;
 }
 
-// Returns how many replicas must be able to start without another machine: those expected to arrive while a
+// Returns how many replicas must be able to start on existing machines: those expected to arrive while a
 // machine boots and fetches the image, and one job of the largest size.
 std::size_t ClassReservations::standby_replicas(const ArrivalStatistics& arrivals,
                                                 const wire::MachineType& type, WallTime now) const {
@@ -207,8 +209,8 @@
     return static_cast<std::size_t>(std::clamp(expected, min_standby, max_standby));
 }
 
-// Returns the number of waiting tasks in the class of `spec`. Replicas of services and tasks of other jobs
-// are counted separately: only those of the same sort as `spec`.
+// Returns the number of waiting tasks in the class of `spec`. Counts only replicas of services if `spec` is a
+// service, and only tasks of other jobs if it is not.
 std::size_t ClassReservations::waiting_tasks(const wire::JobSpec& spec) const {
     std::size_t waiting = 0;
     for (const Demand& demand : plan_input_.demands)
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -23,7 +23,7 @@
 constexpr double similar_amounts_ratio = 1.15;
 constexpr double wait_step_s = 10;
 
-// The key by which demands are merged.
+// Demands with equal groups are merged.
 struct DemandGroup {
     std::string job_class;
     wire::Rank rank = wire::Rank::standard;
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr double reservation_delay_s = 8;        // wait after which machines are reserved for a gang
 constexpr std::size_t max_reserved_divisor = 4;  // at most one fourth of all machines is reserved for gangs
-constexpr double previously_reserved_cost = -1;  // lower than all other costs, which are times
+constexpr double previously_reserved_cost = -1;  // lower than other candidates' costs, which are times
 
 // Returns in how many seconds a machine has free capacity for one member of a gang.
 double time_until_capacity_s(const MachineBin& bin, const Resources& need) {
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -61,7 +61,7 @@
   private:
     struct QueuedSlot {
         double available_in_s = 0;
-        std::size_t bin = 0, slot = 0;  // indexes
+        std::size_t bin = 0, slot = 0;  // indexes of the machine bin and of its slot
         const wire::MachineType* type = nullptr;
         // std::priority_queue returns the largest element first: that is the slot which is available first,
         // and among equals the one with the lowest indexes.
--- a/src/autoscaler/preemption.cpp
+++ b/src/autoscaler/preemption.cpp
@@ -70,7 +70,8 @@
 std::size_t Preemptor::preempt_for_waiting_tasks(const std::vector<ReservationCandidate>& candidates,
                                                  std::size_t waiting_tasks, const wire::JobSpec& spec,
                                                  const sched::Reservation& reservation) {
-    std::vector<std::pair<double, MachineId>> preemptible;  // with the work that would be lost, in seconds
+    std::vector<std::pair<double, MachineId>>
+        preemptible;  // machines, with the seconds of work that would be lost
     for (const auto& [cost, bin] : candidates) {
         const bool has_free_capacity =
             std::any_of(bin->slots.begin(), bin->slots.end(), [&](const CapacitySlot& slot) {
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -9,14 +9,14 @@
 
 namespace zincdyke::autoscaler {
 namespace {
-// Limits of the cloud's API on the machines in one request.
+// Maximum number of machines in one request to the cloud's API.
 constexpr std::size_t max_terminated_per_call = 100;
 constexpr std::uint32_t max_provisioned_per_call = 50;
 // Share of the cloud requests that may provision machines; the others list or terminate machines.
 constexpr double provision_share_of_calls = 0.25;
-constexpr double provision_retry_s = 2;  // pause after a failed request
-// Pause after a request with unknown outcome, as a multiple of the machine list's lag: by then the list shows
-// whether machines were provisioned.
+constexpr double provision_retry_s = 2;  // pause for a kind of machine after a failed request
+// Pause for a kind of machine after a request with unknown outcome, as a multiple of the machine list's lag:
+// by then the list shows whether machines were provisioned.
 constexpr double unknown_outcome_list_lags = 2;
 
 const char* name_of(TerminationReason reason) {
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -32,7 +32,8 @@
         if (auto demand = classes.reserve(kind.job_class, arrivals, now, reservations))
             standby_demands.push_back(std::move(*demand));
     }
-    // Added last, because ClassReservations counts the waiting tasks in the plan's demands.
+    // The standby demands are added last, because ClassReservations counts the waiting tasks in the plan's
+    // demands.
     for (Demand& demand : standby_demands) plan_input.demands.push_back(std::move(demand));
     reservations_ = std::move(reservations);
 }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 CloudClient::CloudClient(Env& env, const Settings& settings) : env_(env), settings_(settings) {
-    // Leaves a margin below the cloud's request rate limit.
+    // The client leaves a margin below the cloud's request rate limit.
     rate_limit_.set_rate(std::max(0.1, settings.cloud_rps * 0.9));
 }
 
