--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -24,9 +24,9 @@
 
 void CloudClient::send_queued() {
     while (!queue_.empty()) {
-        if (!rate_limit_.has(env_.now(), 1)) {
+        if (!rate_limit_.refill_and_check(env_.now(), 1)) {
             if (timer_ == 0)
-                timer_ = env_.after(rate_limit_.until(1), [this] {
+                timer_ = env_.after(rate_limit_.time_until(1), [this] {
                     timer_ = 0;
                     send_queued();
                 });
