--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -51,9 +51,9 @@
 }
 
 Json round_counts(const Relay& relay, const PlacementGatherer& gatherer) {
-    return {{"started", relay.counts().started},
-            {"decided", gatherer.counts().decided},
-            {"decision_ms", gatherer.counts().decision_ms},
+    return {{"started", relay.counts().rounds_started},
+            {"decided", gatherer.counts().rounds_decided},
+            {"decision_ms", gatherer.counts().total_decision_ms},
             {"failed_placements", relay.counts().failed_placements}};
 }
 
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -59,7 +59,7 @@
     context.max_writes = max_writes;
     context.store_rejected_value = store_.has_rejected_value();
     if (key.is_of_team()) context.lock = TeamLockToken{key.team, *locks_.token(key.team)};
-    context.own_term = [this](std::uint32_t shard) { return cluster_.term(shard); };
+    context.own_leader_term = [this](std::uint32_t shard) { return cluster_.term(shard); };
     return queue_.build(key, TransactionBuilder(state_cache_, settings_, std::move(context)));
 }
 
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "jobs/commit_limits.h"
+#include "jobs/commit_timing.h"
 
 namespace zincdyke {
 namespace {
@@ -10,7 +10,7 @@
 constexpr Duration reclaim_interval = std::chrono::milliseconds(250);
 // A committer that lives and is reachable answers within these; after that its message was lost, and the
 // leader commits itself.
-constexpr Duration start_answer_timeout = max_start_wait + std::chrono::seconds(1);
+constexpr Duration start_answer_timeout = start_commit_timeout + std::chrono::seconds(1);
 constexpr Duration end_answer_timeout = max_completion_delay + std::chrono::seconds(6);
 constexpr std::size_t max_operations_in_message = 256;
 }  // namespace
--- a/src/jobs/commit_queue.cpp
+++ b/src/jobs/commit_queue.cpp
@@ -4,7 +4,7 @@
 #include <iterator>
 #include <utility>
 
-#include "jobs/commit_limits.h"
+#include "jobs/commit_timing.h"
 
 namespace zincdyke {
 namespace {
@@ -119,7 +119,7 @@
     auto& pages = queues_[key].pages;
     for (auto& [page, operations] : pages)
         std::erase_if(operations, [&, job = page.job](PendingOperation& operation) {
-            if (!operation.is_start() || now - operation.accepted_at <= max_start_wait) return false;
+            if (!operation.is_start() || now - operation.accepted_at <= start_commit_timeout) return false;
             removed.push_back({job, std::move(operation)});
             return true;
         });
@@ -192,7 +192,7 @@
         const auto next = next_page(queue);
         const PageKey page = next->first;
         const bool is_busy = pages_in_flight_.contains(page);
-        if (!is_busy && !builder.is_empty() && !builder.has_room_for(page.job)) break;
+        if (!is_busy && !builder.is_empty() && !builder.can_add_page_of(page.job)) break;
         std::vector<PendingOperation> operations = std::move(next->second);
         queue.pages.erase(next);
         if (is_busy) {
@@ -203,9 +203,10 @@
         builder.add_page(page, std::move(operations));
     }
     BuiltTransaction built = std::move(builder).finish();
-    for (auto& [page, operations] : built.leftovers) append(queue.pages[page], std::move(operations));
+    for (auto& [page, operations] : built.deferred_operations)
+        append(queue.pages[page], std::move(operations));
     for (auto& [page, operations] : left) append(queue.pages[page], std::move(operations));
-    built.leftovers.clear();
+    built.deferred_operations.clear();
     return built;
 }
 
--- a/src/jobs/commit_queue.h
+++ b/src/jobs/commit_queue.h
@@ -43,7 +43,8 @@
     void schedule(const CommitQueueKey& key, Duration delay);
     /// The team's starts may go: their turn is at once, if there are any.
     void wake(const TeamName& team);
-    /// Removes starts that waited for longer than `max_start_wait`, and the queue itself if nothing is left.
+    /// Removes starts that waited for longer than `start_commit_timeout`, and the queue itself if nothing is
+    /// left.
     [[nodiscard]] std::vector<RemovedOperation> remove_expired_starts(const CommitQueueKey& key);
     [[nodiscard]] bool contains(const CommitQueueKey& key) const { return queues_.contains(key); }
 
--- a/src/jobs/final_cache.h
+++ b/src/jobs/final_state_cache.h
@@ -16,9 +16,9 @@
 };
 
 /// The final states used last, up to a number of them. The least recently used make room for new ones.
-class FinalCache {
+class FinalStateCache {
   public:
-    explicit FinalCache(std::size_t max_entries) : max_entries_(max_entries) {}
+    explicit FinalStateCache(std::size_t max_entries) : max_entries_(max_entries) {}
 
     /// Null when the job's final state is not in the cache. Valid until the next call of `put`.
     [[nodiscard]] const FinalState* find(const JobId& id);
--- a/src/jobs/jobs_api.h
+++ b/src/jobs/jobs_api.h
@@ -9,7 +9,7 @@
 #include "base/env.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/peer_channel.h"
-#include "jobs/final_cache.h"
+#include "jobs/final_state_cache.h"
 #include "jobs/job_routes.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
@@ -74,7 +74,7 @@
     StateCache& state_cache_;
     ClusterCoordinator& cluster_;
     PeerChannel& peers_;
-    FinalCache final_states_;
+    FinalStateCache final_states_;
     std::size_t open_requests_ = 0;
 };
 
--- a/src/jobs/operation_rules.cpp
+++ b/src/jobs/operation_rules.cpp
@@ -1,6 +1,6 @@
 #include "jobs/operation_rules.h"
 
-#include "jobs/commit_limits.h"
+#include "jobs/commit_timing.h"
 #include "sched/logic.h"
 #include "sched/spread.h"
 
@@ -46,7 +46,7 @@
 
     if (task.status != TaskState::Status::pending) return ApplyResult::superseded;
     if (job.cancelled) return ApplyResult::job_cancelled;
-    if (now - operation.accepted_at > max_start_wait) return ApplyResult::waited_too_long;
+    if (now - operation.accepted_at > start_commit_timeout) return ApplyResult::waited_too_long;
     const auto attempt = sched::next_attempt(job, task);
     if (!attempt) return ApplyResult::no_attempt_allowed;
     const Team* team = state_cache.team_limits(job.spec.team);
--- a/src/jobs/operation_rules.h
+++ b/src/jobs/operation_rules.h
@@ -15,7 +15,7 @@
     superseded,          ///< the task is no longer in the state that the operation is about
     never_completes,     ///< a service's replica is never done
     job_cancelled,       ///< nothing of it is started any more
-    waited_too_long,     ///< a start older than `max_start_wait`
+    waited_too_long,     ///< a start older than `start_commit_timeout`
     no_attempt_allowed,  ///< tasks of a gang's failed attempt are still on machines
     unknown_team,
     over_quota,
--- a/src/jobs/placement_gatherer.cpp
+++ b/src/jobs/placement_gatherer.cpp
@@ -51,8 +51,9 @@
     if (found == rounds_.end() || found->second.is_decided) return;
     Round& round = found->second;
     round.is_decided = true;
-    ++counts_.decided;
-    counts_.decision_ms += static_cast<std::uint64_t>((env_.now() - round.first_response).count() / 1000);
+    ++counts_.rounds_decided;
+    counts_.total_decision_ms +=
+        static_cast<std::uint64_t>((env_.now() - round.first_response).count() / 1000);
     const Job* job = state_cache_.job(round.job);
     std::optional<TaskIndex> max_per_zone;
     if (job != nullptr && job->spec.spread) max_per_zone = sched::spread_limit(job->spec.tasks);
--- a/src/jobs/placement_gatherer.h
+++ b/src/jobs/placement_gatherer.h
@@ -23,8 +23,9 @@
     void on_placement_response(const wire::PlacementResponse& response);
 
     struct Counts {
-        std::uint64_t decided = 0;
-        std::uint64_t decision_ms = 0;  ///< From the first response to the decision, all rounds together.
+        std::uint64_t rounds_decided = 0;
+        std::uint64_t total_decision_ms =
+            0;  ///< From the first response to the decision, all rounds together.
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -72,7 +72,7 @@
     const auto placed = std::erase_if(waiting.requested, [&](const auto& entry) {
         const TaskIndex task = entry.first;
         if (state_cache_.task({job.spec.id, task}).status == TaskState::Status::pending) return false;
-        if (job.spec.is_service()) waiting.restarts.placed(task, env_.now());
+        if (job.spec.is_service()) waiting.restarts.on_replica_placed(task, env_.now());
         return true;
     });
     if (placed > 0) waiting.failing_since.reset();
@@ -198,7 +198,7 @@
     const SteadyTime now = env_.now();
     for (const TaskIndex task : tasks) waiting.requested[task] = now;
     waiting.not_before = now + job_round_interval;
-    ++counts_.started;
+    ++counts_.rounds_started;
     send_placement_request(job, std::move(tasks));
     return true;
 }
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -29,7 +29,7 @@
     void on_capacity_freed(const wire::CapacityFreedNotification& freed);
 
     struct Counts {
-        std::uint64_t started = 0;            ///< Rounds.
+        std::uint64_t rounds_started = 0;     ///< Rounds.
         std::uint64_t failed_placements = 0;  ///< Tasks for which a round found no place.
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
--- a/src/jobs/restart_backoff.cpp
+++ b/src/jobs/restart_backoff.cpp
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-void RestartBackoff::placed(TaskIndex replica, SteadyTime now) {
+void RestartBackoff::on_replica_placed(TaskIndex replica, SteadyTime now) {
     Replica& state = replicas_[replica];
     state.placed_at = now;
     state.is_placed = true;
--- a/src/jobs/restart_backoff.h
+++ b/src/jobs/restart_backoff.h
@@ -11,7 +11,7 @@
 class RestartBackoff {
   public:
     /// The replica was placed on a machine at `now`.
-    void placed(TaskIndex replica, SteadyTime now);
+    void on_replica_placed(TaskIndex replica, SteadyTime now);
     /// The replica has to run again: when it may be started, at the earliest.
     [[nodiscard]] SteadyTime earliest_start(TaskIndex replica, SteadyTime now);
 
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -38,7 +38,7 @@
     return built_.transaction.conditions.size() + commitments_.terms.size();
 }
 
-bool TransactionBuilder::has_room_for(const JobId& job) const {
+bool TransactionBuilder::can_add_page_of(const JobId& job) const {
     const StateLimits& limits = settings_.strictest_limits;
     const std::size_t writes = built_.transaction.writes.size();
     constexpr std::size_t another_shard = 1;
@@ -53,7 +53,7 @@
 std::optional<Term> TransactionBuilder::valid_term(const PendingOperation& operation,
                                                    std::uint32_t shard) const {
     const bool is_over = operation.forwarded ? state_cache_.shards()[shard].term > operation.term
-                                             : context_.own_term(shard) != operation.term;
+                                             : context_.own_leader_term(shard) != operation.term;
     if (is_over) return std::nullopt;
     return operation.term;
 }
@@ -135,7 +135,7 @@
             return postpone_or_give_up(page, *job, std::move(result));
         }
     }
-    if (!result.postponed.empty()) built_.leftovers.push_back({page, std::move(result.postponed)});
+    if (!result.postponed.empty()) built_.deferred_operations.push_back({page, std::move(result.postponed)});
 }
 
 // The page's record would be too large. Ends make it shorter, and starts wait for smaller pages; where there
@@ -152,7 +152,8 @@
         built_.notices.emplace_back(PageFull{page});
         built_.notices.emplace_back(SettledOperation{page.job, std::move(operation), false});
     }
-    if (!overflowing.postponed.empty()) built_.leftovers.push_back({page, std::move(overflowing.postponed)});
+    if (!overflowing.postponed.empty())
+        built_.deferred_operations.push_back({page, std::move(overflowing.postponed)});
 }
 
 void TransactionBuilder::add_condition(const Condition& condition) {
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -28,7 +28,7 @@
     bool store_rejected_value = false;  ///< the store's value limit is known to be the strictest one
     std::optional<TeamLockToken> lock;  ///< where the transaction holds starts of a limited team
     /// The term under which this node leads a shard; nothing where it doesn't.
-    std::function<std::optional<Term>(std::uint32_t shard)> own_term;
+    std::function<std::optional<Term>(std::uint32_t shard)> own_leader_term;
 };
 
 /// Operations on one page.
@@ -59,7 +59,7 @@
 struct BuiltTransaction {
     Transaction transaction;
     std::vector<PageOperations> operations;  ///< that it carries out; empty: there is nothing to send
-    std::vector<PageOperations> leftovers;   ///< to be carried out by a later one
+    std::vector<PageOperations> deferred_operations;  ///< to be carried out by a later one
     std::vector<BuildNotice> notices;
     bool has_ends = false;  ///< ends free capacity and go before other decisions
 };
@@ -72,7 +72,7 @@
     /// Whether no operation is carried out yet.
     [[nodiscard]] bool is_empty() const { return built_.operations.empty(); }
     /// Whether one more page of the job finds room, with the job's end or its new zone.
-    [[nodiscard]] bool has_room_for(const JobId& job) const;
+    [[nodiscard]] bool can_add_page_of(const JobId& job) const;
     /// Adds what may be done of the operations, in their order; each page once.
     void add_page(const PageKey& page, std::vector<PendingOperation> operations);
     /// Ends the build.
--- a/tests/final_state_cache_test.cpp
+++ b/tests/final_state_cache_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(FinalStateCache, IsBounded) {
-    FinalCache c(3);
+    FinalStateCache c(3);
     for (int i = 0; i < 10; ++i) c.put(JobId("job-" + std::to_string(i)), {wire::Phase::done, i});
     EXPECT_EQ(c.find(JobId("job-6")), nullptr);
     ASSERT_NE(c.find(JobId("job-9")), nullptr);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -105,7 +105,7 @@
     RestartBackoff backoff;
     SteadyTime now{};
     const auto pause_after = [&](int ran_s) {
-        backoff.placed(0, now);
+        backoff.on_replica_placed(0, now);
         now += zincdyke::seconds(ran_s);
         const SteadyTime earliest = backoff.earliest_start(0, now);
         EXPECT_EQ(backoff.earliest_start(0, now), earliest);  // asking again changes nothing
--- a/tests/transaction_builder_test.cpp
+++ b/tests/transaction_builder_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "fake_state_observer.h"
-#include "jobs/commit_limits.h"
+#include "jobs/commit_timing.h"
 #include "store/records.h"
 
 namespace zincdyke::testing {
@@ -65,7 +65,7 @@
         BuildContext context;
         context.now = now_;
         context.max_writes = 10;
-        context.own_term = [](std::uint32_t) { return std::optional<Term>(own_term); };
+        context.own_leader_term = [](std::uint32_t) { return std::optional<Term>(own_term); };
         return context;
     }
     BuiltTransaction build(std::vector<PendingOperation> operations, BuildContext context) const {
@@ -117,7 +117,7 @@
               records::encode_page({TaskState{}, placed(1, "m1"), TaskState{}}, 0));
     ASSERT_EQ(built.operations.size(), 1U);
     EXPECT_EQ(built.operations.at(0).operations.size(), 1U);
-    EXPECT_TRUE(built.leftovers.empty());
+    EXPECT_TRUE(built.deferred_operations.empty());
     EXPECT_TRUE(built.notices.empty());
     EXPECT_FALSE(built.has_ends);
 }
@@ -182,7 +182,7 @@
 TEST_F(TransactionBuilderTest, StartOfACancelledJobOrWaitingTooLongIsSettled) {
     load();
     PendingOperation old = start(0, "m1");
-    old.accepted_at = now_ - max_start_wait - Duration(1);
+    old.accepted_at = now_ - start_commit_timeout - Duration(1);
     EXPECT_FALSE(settled_as_committed(build({old})));
     cache_->mark_cancelled(job_id);
     EXPECT_FALSE(settled_as_committed(build({start(0, "m1")})));
@@ -227,8 +227,9 @@
     const BuiltTransaction built = build(std::move(operations));
     EXPECT_LE(built.transaction.conditions.size(), 8U);
     ASSERT_EQ(built.operations.size(), 1U);
-    ASSERT_EQ(built.leftovers.size(), 1U);
-    EXPECT_EQ(built.operations.at(0).operations.size() + built.leftovers.at(0).operations.size(), 40U);
+    ASSERT_EQ(built.deferred_operations.size(), 1U);
+    EXPECT_EQ(built.operations.at(0).operations.size() + built.deferred_operations.at(0).operations.size(),
+              40U);
     EXPECT_TRUE(built.notices.empty());
 }
 
@@ -238,10 +239,10 @@
     context.max_writes = 1;
     TransactionBuilder builder(*cache_, settings_, std::move(context));
     EXPECT_TRUE(builder.is_empty());
-    EXPECT_TRUE(builder.has_room_for(job_id));
+    EXPECT_TRUE(builder.can_add_page_of(job_id));
     builder.add_page({job_id, 0}, {start(0, "m1")});
     EXPECT_FALSE(builder.is_empty());
-    EXPECT_FALSE(builder.has_room_for(job_id));
+    EXPECT_FALSE(builder.can_add_page_of(job_id));
 }
 
 // Pages of the present size may be too large for the limits that the settings announce.
@@ -283,9 +284,9 @@
     ASSERT_EQ(built.notices.size(), std::size_t{2} * 39);
     EXPECT_TRUE(std::holds_alternative<PageFull>(built.notices.at(0)));
     EXPECT_FALSE(std::get<SettledOperation>(built.notices.at(1)).is_committed);
-    ASSERT_EQ(built.leftovers.size(), 1U);
-    ASSERT_EQ(built.leftovers.at(0).operations.size(), 1U);
-    EXPECT_EQ(built.leftovers.at(0).operations.at(0).kind, OperationKind::release);
+    ASSERT_EQ(built.deferred_operations.size(), 1U);
+    ASSERT_EQ(built.deferred_operations.at(0).operations.size(), 1U);
+    EXPECT_EQ(built.deferred_operations.at(0).operations.at(0).kind, OperationKind::release);
 }
 
 TEST_F(LargePageTest, AsksForSmallerPagesFromTheFirstFormatLevelOn) {
@@ -296,8 +297,8 @@
     EXPECT_TRUE(built.transaction.writes.empty());
     ASSERT_EQ(built.notices.size(), 1U);
     EXPECT_EQ(std::get<PageResizeNeeded>(built.notices.at(0)).job, job_id);
-    ASSERT_EQ(built.leftovers.size(), 1U);
-    EXPECT_EQ(built.leftovers.at(0).operations.size(), 39U);
+    ASSERT_EQ(built.deferred_operations.size(), 1U);
+    EXPECT_EQ(built.deferred_operations.at(0).operations.size(), 39U);
 }
 
 }  // namespace
