--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -22,9 +22,10 @@
 
 Json commit_counts(const TaskCommitter& committer) {
     const auto& counts = committer.counts();
-    return {{"commits", counts.commits},    {"pages", counts.pages},         {"starts", counts.starts},
-            {"ends", counts.ends},          {"conflicts", counts.conflicts}, {"forwarded", counts.forwarded},
-            {"reclaimed", counts.reclaimed}};
+    return {{"commits", counts.sent_transactions},     {"pages", counts.written_pages},
+            {"starts", counts.committed_starts},       {"ends", counts.committed_ends},
+            {"conflicts", counts.conflicts},           {"forwarded", counts.forwarded_operations},
+            {"reclaimed", counts.reclaimed_operations}};
 }
 
 Json store_counts(const StoreClient& store) {
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -83,7 +83,7 @@
     act_on(built->notices);
     if (built->operations.empty()) return queue_.resume(key);
     queue_.begin_transaction(key, built->operations);
-    ++counts_.commits;
+    ++counts_.sent_transactions;
     store_.commit(built->transaction, built->has_ends ? RequestPriority::report : RequestPriority::decision,
                   [this, key, built](const CommitResult& result) {
                       queue_.end_transaction(key, built->operations);
@@ -97,10 +97,10 @@
 void CommitExecutor::on_committed(const CommitQueueKey& key, BuiltTransaction& built, Revision revision) {
     apply_committed(state_cache_, built.transaction, revision);
     if (key.is_of_team()) locks_.on_committed(key.team, revision);
-    counts_.pages += built.operations.size();
+    counts_.written_pages += built.operations.size();
     for (auto& [page, operations] : built.operations)
         for (auto& operation : operations) {
-            ++(operation.is_start() ? counts_.starts : counts_.ends);
+            ++(operation.is_start() ? counts_.committed_starts : counts_.committed_ends);
             log::info("event={} task={} machine={} term={} reason={} revision={}",
                       committed_event_name(operation), TaskRef{page.job, operation.task}.str(),
                       operation.machine.value(), operation.term.value(), log_reason(operation),
--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -34,7 +34,8 @@
 class CommitExecutor {
   public:
     struct Counts {
-        std::uint64_t commits = 0, pages = 0, starts = 0, ends = 0, conflicts = 0;
+        std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
+                      conflicts = 0;
     };
 
     /// The references must outlive the executor.
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -26,7 +26,7 @@
     const std::uint64_t request_id = ++last_request_id_;
     unanswered_.emplace(request_id, ForwardedOperation{job, std::move(operation), committer,
                                                        session_of(committer), env_.now()});
-    ++counts_.forwarded;
+    ++counts_.forwarded_operations;
     outbox_[{committer, job}].push_back(request_id);
     if (!std::exchange(is_send_scheduled_, true)) env_.after(outbox_delay, [this] { send_outbox(); });
 }
@@ -87,7 +87,7 @@
             ++it;
             continue;
         }
-        ++counts_.reclaimed;
+        ++counts_.reclaimed_operations;
         on_reclaimed_(forwarded.job, std::move(forwarded.operation));
         it = unanswered_.erase(it);
     }
--- a/src/jobs/commit_forwarder.h
+++ b/src/jobs/commit_forwarder.h
@@ -27,7 +27,7 @@
         bool is_committed = false;
     };
     struct Counts {
-        std::uint64_t forwarded = 0, reclaimed = 0;
+        std::uint64_t forwarded_operations = 0, reclaimed_operations = 0;
     };
 
     /// The references must outlive the forwarder.
--- a/src/jobs/task_committer.cpp
+++ b/src/jobs/task_committer.cpp
@@ -140,7 +140,7 @@
 void TaskCommitter::close_job(const JobId& id) { record_writer_.close_job(id); }
 
 double TaskCommitter::sample_write_demand() {
-    const std::uint64_t pages = executor_.counts().pages;
+    const std::uint64_t pages = executor_.counts().written_pages;
     const std::uint64_t written = pages - std::exchange(sampled_pages_, pages);
     const auto sample = static_cast<double>(queue_.waiting_page_count() + written);
     write_demand_ = demand_smoothing * write_demand_ + (1 - demand_smoothing) * sample;
@@ -150,8 +150,9 @@
 TaskCommitter::Counts TaskCommitter::counts() const {
     const CommitExecutor::Counts& executed = executor_.counts();
     const CommitForwarder::Counts& forwarding = forwarder_.counts();
-    return {executed.commits,   executed.pages,       executed.starts,     executed.ends,
-            executed.conflicts, forwarding.forwarded, forwarding.reclaimed};
+    return {executed.sent_transactions,     executed.written_pages, executed.committed_starts,
+            executed.committed_ends,        executed.conflicts,     forwarding.forwarded_operations,
+            forwarding.reclaimed_operations};
 }
 
 }  // namespace zincdyke
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -28,8 +28,8 @@
   public:
     /// `forwarded` and `reclaimed` count operations of this node that another committer was to commit.
     struct Counts {
-        std::uint64_t commits = 0, pages = 0, starts = 0, ends = 0, conflicts = 0, forwarded = 0,
-                      reclaimed = 0;
+        std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
+                      conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
     };
 
     /// The references must outlive the committer.
