--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -1,4 +1,5 @@
-/// Commits what is queued: has transactions built, sends them, and acts on the store's answers.
+/// Builds the transactions that commit queued task starts and ends, sends them to the key-value store and
+/// handles the store's responses.
 #pragma once
 #include <memory>
 #include <string>
@@ -16,7 +17,7 @@
 
 namespace zincdyke {
 
-/// Told of what CommitExecutor brings to an end.
+/// Receives the outcomes of operations and transactions from CommitExecutor, on the event-loop thread.
 class CommitObserver {
   public:
     CommitObserver() = default;
@@ -24,36 +25,40 @@
     CommitObserver& operator=(const CommitObserver&) = delete;
     virtual ~CommitObserver() = default;
 
-    /// The operation is no longer queued: its task is as it asked for, or it will not be carried out.
+    /// Reports that an operation left the commit queue: either its task is in the state that the operation
+    /// requested (`is_committed`), or the operation was rejected and will not be retried.
     virtual void on_operation_finished(const JobId& job, PendingOperation& operation, bool is_committed) = 0;
-    /// After the operations of a transaction that was carried out.
+    /// Reports a committed transaction, after on_operation_finished() was called for each of its operations.
     virtual void on_transaction_committed(const Transaction& transaction, Revision revision) = 0;
 };
 
-/// Must outlive the event loop's timers and requests.
+/// Commits queued operations, one transaction per commit queue at a time, and requeues the operations of
+/// failed transactions. The executor must outlive the timers and store requests that it starts.
 class CommitExecutor {
   public:
+    /// Totals since the process started.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
                       conflicts = 0;
     };
 
-    /// The references must outlive the executor.
+    /// Keeps all reference arguments; they must outlive the executor.
     CommitExecutor(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                    ClusterCoordinator& cluster, CommitQueue& queue, JobRecordWriter& record_writer,
                    CommitObserver& observer);
-    /// It is the queue's turn: sends its next transaction, of about `max_writes` at most, if there is one.
+    /// Builds and sends the next transaction of a commit queue, with about `max_writes` writes at most. Sends
+    /// nothing if no operation of the queue can be committed now.
     void commit_next(const CommitQueueKey& key, std::size_t max_writes);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
-    [[nodiscard]] bool holds_team_lock(const CommitQueueKey& key);
-    [[nodiscard]] BuiltTransaction build(const CommitQueueKey& key, std::size_t max_writes);
-    void act_on(std::vector<BuildNotice>& notices);
+    [[nodiscard]] bool ensure_team_lock(const CommitQueueKey& key);
+    [[nodiscard]] BuiltTransaction build_transaction(const CommitQueueKey& key, std::size_t max_writes);
+    void handle_notices(std::vector<BuildNotice>& notices);
     void on_committed(const CommitQueueKey& key, BuiltTransaction& built, Revision revision);
     void on_not_committed(const CommitQueueKey& key, BuiltTransaction& built, const CommitResult& result);
-    void put_back(BuiltTransaction& built, const CommitResult& result, Duration delay);
-    void refresh(const CommitQueueKey& key, const std::vector<std::string>& record_keys);
+    void requeue_operations(BuiltTransaction& built, const CommitResult& result, Duration delay);
+    void reread_records(const CommitQueueKey& key, const std::vector<std::string>& record_keys);
 
     Env& env_;
     const Settings& settings_;
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -8,24 +8,23 @@
 namespace {
 constexpr Duration outbox_delay = std::chrono::milliseconds(5);
 constexpr Duration reclaim_interval = std::chrono::milliseconds(250);
-// A committer that lives and is reachable answers within these; after that its message was lost, and the
-// leader commits itself.
+// A reachable committer responds within these timeouts unless a message was lost.
 constexpr Duration start_answer_timeout = start_commit_timeout + std::chrono::seconds(1);
-constexpr Duration end_answer_timeout = max_completion_delay + std::chrono::seconds(6);
-constexpr std::size_t max_operations_in_message = 256;
+constexpr Duration end_answer_timeout = max_completion_batching_delay + std::chrono::seconds(6);
+constexpr std::size_t max_operations_per_message = 256;
 }  // namespace
 
 CommitForwarder::CommitForwarder(Env& env, const StateCache& state_cache, PeerChannel& peers,
                                  ReclaimCallback on_reclaimed)
     : env_(env), state_cache_(state_cache), peers_(peers), on_reclaimed_(std::move(on_reclaimed)) {}
 
-void CommitForwarder::start() { reclaim(); }
+void CommitForwarder::start() { reclaim_operations(); }
 
-// What a late copy of this message says is judged again by the committer, under the same term and attempt.
+// Sending an operation twice is safe: the committer checks each copy against the current term and attempt.
 void CommitForwarder::forward(const NodeName& committer, const JobId& job, PendingOperation operation) {
     const std::uint64_t request_id = ++last_request_id_;
     unanswered_.emplace(request_id, ForwardedOperation{job, std::move(operation), committer,
-                                                       session_of(committer), env_.now()});
+                                                       current_session(committer), env_.now()});
     ++counts_.forwarded_operations;
     outbox_[{committer, job}].push_back(request_id);
     if (!std::exchange(is_send_scheduled_, true)) env_.after(outbox_delay, [this] { send_outbox(); });
@@ -33,8 +32,8 @@
 
 void CommitForwarder::send_outbox() {
     is_send_scheduled_ = false;
-    for (const auto& [to, request_ids] : std::exchange(outbox_, {})) {
-        wire::CommitRequest request{to.job, {}};
+    for (const auto& [destination, request_ids] : std::exchange(outbox_, {})) {
+        wire::CommitRequest request{destination.job, {}};
         for (const std::uint64_t request_id : request_ids) {
             const auto found = unanswered_.find(request_id);
             if (found == unanswered_.end()) continue;
@@ -42,10 +41,10 @@
             request.operations.push_back({static_cast<std::uint8_t>(operation.kind), operation.task,
                                           operation.attempt, operation.machine, operation.zone,
                                           operation.term.value(), request_id});
-            if (request.operations.size() == max_operations_in_message)
-                peers_.send(to.committer, std::exchange(request, {to.job, {}}));
+            if (request.operations.size() == max_operations_per_message)
+                peers_.send(destination.committer, std::exchange(request, {destination.job, {}}));
         }
-        if (!request.operations.empty()) peers_.send(to.committer, std::move(request));
+        if (!request.operations.empty()) peers_.send(destination.committer, std::move(request));
     }
 }
 
@@ -62,28 +61,28 @@
     return answered;
 }
 
-Revision CommitForwarder::session_of(const NodeName& node) const {
+Revision CommitForwarder::current_session(const NodeName& node) const {
     const auto session = state_cache_.live_nodes().find(node);
     return session != state_cache_.live_nodes().end() ? session->second : Revision{};
 }
 
-bool CommitForwarder::is_given_up(const ForwardedOperation& forwarded) const {
+bool CommitForwarder::should_reclaim(const ForwardedOperation& forwarded) const {
     if (!peers_.is_reachable(forwarded.committer) ||
-        session_of(forwarded.committer) != forwarded.committer_session)
+        current_session(forwarded.committer) != forwarded.committer_session)
         return true;
     const Duration timeout = forwarded.operation.is_start() ? start_answer_timeout : end_answer_timeout;
     return env_.now() - forwarded.sent_at > timeout;
 }
 
-// A committer that is gone or began anew, or is cut off from us or from the key-value store, is not waited
-// for: the leader commits itself. Should the committer do so too, one of the two commits finds the other's
-// versions and fails. One that is only busy is waited for: ends reclaimed while it gathered them would be
-// written twice.
-void CommitForwarder::reclaim() {
-    env_.after(reclaim_interval, [this] { reclaim(); });
+// Reclaims operations from committers that are unreachable, were restarted, lost their session or did not
+// respond in time. If such a committer still commits an operation, one of the two commits fails with a
+// version conflict. A committer that is only busy is not considered failed, since reclaiming operations that
+// it is still batching would cause extra writes.
+void CommitForwarder::reclaim_operations() {
+    env_.after(reclaim_interval, [this] { reclaim_operations(); });
     for (auto it = unanswered_.begin(); it != unanswered_.end();) {
         ForwardedOperation& forwarded = it->second;
-        if (!is_given_up(forwarded)) {
+        if (!should_reclaim(forwarded)) {
             ++it;
             continue;
         }
--- a/src/jobs/commit_forwarder.h
+++ b/src/jobs/commit_forwarder.h
@@ -1,5 +1,4 @@
-/// A leader's side of commits that another controller makes for it: operations go to their job's committer
-/// (ClusterCoordinator::committer_of), whose answer is waited for.
+/// Forwards a shard leader's task operations to the controller that commits them, and tracks the responses.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,30 +13,34 @@
 
 namespace zincdyke {
 
-/// Forwards operations and keeps each until its committer has answered or is given up. Must outlive the event
-/// loop's timers, as all parts of a controller do.
+/// Sends operations to their job's committer (ClusterCoordinator::committer_of) and keeps each one until the
+/// committer responds or is considered failed. The forwarder must outlive the timers that it starts.
 class CommitForwarder {
   public:
-    /// Takes an operation back whose committer is given up: this node commits it itself.
+    /// Called on the event-loop thread with an operation whose committer failed or did not respond in time;
+    /// the callee must commit the operation on this node.
     using ReclaimCallback = std::function<void(const JobId& job, PendingOperation operation)>;
-    /// An operation that its committer has answered.
+    /// A forwarded operation with the result that its committer reported.
     struct AnsweredOperation {
         JobId job;
         PendingOperation operation;
         bool is_committed = false;
     };
+    /// Totals since the process started.
     struct Counts {
         std::uint64_t forwarded_operations = 0, reclaimed_operations = 0;
     };
 
-    /// The references must outlive the forwarder.
+    /// Keeps all reference arguments; they must outlive the forwarder.
     CommitForwarder(Env& env, const StateCache& state_cache, PeerChannel& peers,
                     ReclaimCallback on_reclaimed);
-    /// Begins to look for committers that are to be given up.
+    /// Starts the periodic check for failed committers.
     void start();
-    /// Sends the operation to `committer`, together with what else goes there for the job in the next moment.
+    /// Queues an operation for `committer`. Operations for the same committer and job are sent in one message
+    /// after a delay of a few milliseconds.
     void forward(const NodeName& committer, const JobId& job, PendingOperation operation);
-    /// Hands over the operations that the response answers. Late and repeated answers are ignored.
+    /// Removes and returns the operations that a response answers. Results for operations that were already
+    /// answered or reclaimed are ignored.
     [[nodiscard]] std::vector<AnsweredOperation> take_answered(const wire::CommitResponse& response);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -46,7 +49,7 @@
         JobId job;
         PendingOperation operation;
         NodeName committer;
-        Revision committer_session;  // of the process that was asked
+        Revision committer_session;  // the committer's session when the operation was forwarded
         SteadyTime sent_at;
     };
     struct Destination {
@@ -55,15 +58,15 @@
         auto operator<=>(const Destination&) const = default;
     };
     void send_outbox();
-    void reclaim();
-    [[nodiscard]] bool is_given_up(const ForwardedOperation& forwarded) const;
-    [[nodiscard]] Revision session_of(const NodeName& node) const;
+    void reclaim_operations();
+    [[nodiscard]] bool should_reclaim(const ForwardedOperation& forwarded) const;
+    [[nodiscard]] Revision current_session(const NodeName& node) const;
 
     Env& env_;
     const StateCache& state_cache_;
     PeerChannel& peers_;
     const ReclaimCallback on_reclaimed_;
-    std::map<std::uint64_t, ForwardedOperation> unanswered_;  // by request id
+    std::map<std::uint64_t, ForwardedOperation> unanswered_;  // forwarded operations by request id
     std::map<Destination, std::vector<std::uint64_t>> outbox_;
     bool is_send_scheduled_ = false;
     std::uint64_t last_request_id_ = 0;
--- a/src/jobs/commit_queue.h
+++ b/src/jobs/commit_queue.h
@@ -1,4 +1,5 @@
-/// Starts and ends that wait to be committed by this node, and when their turn is.
+/// Queues task starts and ends that this node commits, and schedules when each queue's next transaction is
+/// built.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,77 +15,84 @@
 
 namespace zincdyke {
 
-/// Operations by queue and page. Queues take their turns in the order of their due times, one transaction of
-/// each at a time, and only when their writes may go: what waits for the write budget gathers meanwhile in
-/// the same pages, and no transaction grows old waiting. Must outlive the event loop's timers.
+/// A set of queues of operations, each grouped by page. Queues are processed in the order of their scheduled
+/// times, one transaction per queue at a time. Transactions are built only when the write budget allows them
+/// to be sent; until then operations accumulate in their pages and share a write. The object must outlive the
+/// timers that it starts.
 class CommitQueue {
   public:
-    /// It is this queue's turn, from the event loop: a transaction may be built and sent, of about
-    /// `max_writes` at most.
-    using TurnCallback = std::function<void(const CommitQueueKey& key, std::size_t max_writes)>;
-    /// An operation that left the queue.
+    /// Called on the event-loop thread when a queue is due and the write budget allows its transaction: the
+    /// callee may build and send one transaction with about `max_writes` writes at most.
+    using QueueDueCallback = std::function<void(const CommitQueueKey& key, std::size_t max_writes)>;
+    /// An operation that was removed from its queue, with its job.
     struct RemovedOperation {
         JobId job;
         PendingOperation operation;
     };
 
-    /// The references must outlive the queue. `store` is asked for its budget alone.
-    CommitQueue(Env& env, StoreClient& store, const StateCache& state_cache, TurnCallback on_turn);
+    /// Keeps all reference arguments; they must outlive the queue. `store` is used only to query the write
+    /// budget.
+    CommitQueue(Env& env, StoreClient& store, const StateCache& state_cache, QueueDueCallback on_queue_due);
 
-    /// Adds an operation; how long it waits for others of its page depends on its kind and the write budget.
+    /// Adds a new operation. The operation's kind and the write budget determine how long it may wait for
+    /// other operations of its page.
     void add(const JobId& job, PendingOperation operation);
-    /// Adds an operation again that was in a transaction, to be tried after `delay` at the latest: to the
-    /// page that holds its task now, which may be another than before.
-    void put_back(const JobId& job, PendingOperation operation, Duration delay);
-    /// A job's pages became smaller: its operations are sorted into them.
+    /// Returns an operation of a failed transaction to the queue, to be retried after `delay` at the latest.
+    /// The page is computed again, since the job's page size may have changed.
+    void requeue(const JobId& job, PendingOperation operation, Duration delay);
+    /// Assigns a job's queued operations to its new, smaller pages.
     void on_pages_resized(const JobId& id);
 
-    /// The queue's turn comes after `delay` at the latest.
+    /// Schedules the queue's next transaction after `delay` at the latest; an earlier scheduled time is kept.
     void schedule(const CommitQueueKey& key, Duration delay);
-    /// The team's starts may go: their turn is at once, if there are any.
-    void wake(const TeamName& team);
-    /// Removes starts that waited for longer than `start_commit_timeout`, and the queue itself if nothing is
-    /// left.
+    /// Schedules the queued starts of a limited team immediately; called when its team lock may be usable.
+    void schedule_team_starts(const TeamName& team);
+    /// Removes and returns starts that were queued for longer than `start_commit_timeout`, and removes the
+    /// queue itself if it becomes empty.
     [[nodiscard]] std::vector<RemovedOperation> remove_expired_starts(const CommitQueueKey& key);
     [[nodiscard]] bool contains(const CommitQueueKey& key) const { return queues_.contains(key); }
 
-    /// Builds the queue's next transaction, by rank and age of its pages; what is left over stays queued.
-    [[nodiscard]] BuiltTransaction build(const CommitQueueKey& key, TransactionBuilder builder);
-    /// The queue takes no turn, and no queue writes these pages, until end_transaction().
+    /// Builds the queue's next transaction from its pages in the order of job rank and age. Operations that
+    /// the transaction doesn't include stay queued.
+    [[nodiscard]] BuiltTransaction build_transaction(const CommitQueueKey& key, TransactionBuilder builder);
+    /// Marks the queue and these pages as having a transaction in flight: until end_transaction(), the queue
+    /// is not processed and no transaction of any queue includes the pages.
     void begin_transaction(const CommitQueueKey& key, const std::vector<PageOperations>& pages);
+    /// Reverts begin_transaction() after the store has responded or the request has failed.
     void end_transaction(const CommitQueueKey& key, const std::vector<PageOperations>& pages);
-    /// After a transaction: the queue goes on with what is left, or goes.
+    /// Schedules the operations that are left in the queue after a transaction, or removes the queue if it is
+    /// empty.
     void resume(const CommitQueueKey& key);
 
-    /// Pages with operations that wait, counted once for each queue.
-    [[nodiscard]] std::size_t waiting_page_count() const;
+    /// The number of pages with queued operations; a page in two queues counts twice.
+    [[nodiscard]] std::size_t queued_page_count() const;
 
   private:
     using OperationsByPage = std::map<PageKey, std::vector<PendingOperation>>;
     struct Queue {
         OperationsByPage pages;
         bool is_in_flight = false;
-        std::optional<SteadyTime> due;
+        std::optional<SteadyTime> scheduled_at;
     };
-    [[nodiscard]] CommitQueueKey queue_of(const PageKey& page, OperationKind kind) const;
-    [[nodiscard]] PageKey page_of(const JobId& job, TaskIndex task) const;
-    [[nodiscard]] Duration delay_of(const PendingOperation& operation, const PageKey& page,
-                                    std::size_t waiting) const;
-    [[nodiscard]] Duration completion_delay(const Job& job) const;
-    [[nodiscard]] OperationsByPage::iterator next_page(Queue& queue) const;
-    [[nodiscard]] std::vector<PendingOperation> with_waiting_ends(const PageKey& page,
-                                                                  std::vector<PendingOperation> starts);
-    void set_timer(SteadyTime at);
-    void take_turns();
+    [[nodiscard]] CommitQueueKey queue_key_for(const PageKey& page, OperationKind kind) const;
+    [[nodiscard]] PageKey page_key_for(const JobId& id, TaskIndex task) const;
+    [[nodiscard]] Duration batching_delay(const PendingOperation& operation, const PageKey& page,
+                                          std::size_t queued_count) const;
+    [[nodiscard]] Duration completion_batching_delay(const Job& job) const;
+    [[nodiscard]] OperationsByPage::iterator most_urgent_page(Queue& queue) const;
+    [[nodiscard]] std::vector<PendingOperation> with_queued_ends(const PageKey& page,
+                                                                 std::vector<PendingOperation> starts);
+    void set_timer(SteadyTime expiry);
+    void process_due_queues();
 
     Env& env_;
     StoreClient& store_;
     const StateCache& state_cache_;
-    const TurnCallback on_turn_;
+    const QueueDueCallback on_queue_due_;
     std::map<CommitQueueKey, Queue> queues_;
     std::set<PageKey> pages_in_flight_;
-    Env::TimerId timer_ = 0;
-    SteadyTime timer_at_{};
+    Env::TimerId timer_ = 0;  // 0 if no timer is set
+    SteadyTime timer_expiry_{};
 };
 
 }  // namespace zincdyke
--- a/src/jobs/commit_responder.h
+++ b/src/jobs/commit_responder.h
@@ -1,4 +1,4 @@
-/// A committer's side of forwarded operations: results go back to the leaders that asked.
+/// Returns the results of forwarded operations from the committer to the shard leaders that requested them.
 #pragma once
 #include <map>
 #include <vector>
@@ -11,15 +11,16 @@
 
 namespace zincdyke {
 
-/// Gathers results and sends them, one message for each leader: with the records of a commit, or else on the
-/// event loop's next turn. Must outlive the event loop's timers.
+/// Collects results and sends them in one message per leader: together with the written records after a
+/// commit, or otherwise in the next iteration of the event loop. The responder must outlive the timers that
+/// it starts.
 class CommitResponder {
   public:
-    /// The references must outlive the responder.
+    /// Keeps both references; they must outlive the responder.
     CommitResponder(Env& env, PeerChannel& peers) : env_(env), peers_(peers) {}
-    /// Notes a result; it waits for the records that go with it.
+    /// Stores a result and schedules sending it, unless send_with_records() sends it first.
     void add_result(const ForwardedRequest& request, bool is_committed);
-    /// Sends what waits, with the records that `transaction` left.
+    /// Sends all stored results, with the records that `transaction` wrote at `revision`.
     void send_with_records(const Transaction& transaction, Revision revision);
 
   private:
--- a/src/jobs/commit_timing.h
+++ b/src/jobs/commit_timing.h
@@ -1,14 +1,16 @@
-/// Times that several classes of this package must agree on.
+/// Timeouts and delays for committing task operations, shared by several classes of this package.
 #pragma once
 #include "base/types.h"
 
 namespace zincdyke {
 
-/// A start that is not committed by then is given up.
+/// A task start that has not been committed within this time is rejected.
 constexpr Duration start_commit_timeout = std::chrono::seconds(6);
-/// Starts wait this long for others of their page or team.
-constexpr Duration start_delay = std::chrono::milliseconds(20);
-/// The longest that a completion waits for others of its page, where writes are short.
-constexpr Duration max_completion_delay = std::chrono::seconds(12);
+/// How long a task start waits in the commit queue, so that other starts of its page or team share its
+/// transaction.
+constexpr Duration start_batching_delay = std::chrono::milliseconds(20);
+/// The longest time that a task completion waits in the commit queue for other completions of its page. It
+/// applies when the write budget is nearly used up.
+constexpr Duration max_completion_batching_delay = std::chrono::seconds(12);
 
 }  // namespace zincdyke
--- a/src/jobs/committed_records.cpp
+++ b/src/jobs/committed_records.cpp
@@ -4,13 +4,13 @@
 
 namespace zincdyke {
 namespace {
-constexpr std::size_t max_record_bytes = 60'000;  // of all records in a message, below the frame's limit
+constexpr std::size_t max_message_record_bytes = 60'000;  // keeps messages below the peer frame limit
 
 bool is_job(const std::string& key) { return keys::parse(key).kind == keys::Kind::job; }
 
 void apply_stored_record(StateCache& state_cache, const wire::StoredRecord& record) {
-    const JobId job_of_page = keys::job_of_page(record.key);
-    if (!job_of_page.empty() && state_cache.job(job_of_page) == nullptr) return;
+    const JobId page_job = keys::job_of_page(record.key);
+    if (!page_job.empty() && state_cache.job(page_job) == nullptr) return;
     KeyUpdate update{record.key, std::nullopt, Revision{record.version}};
     if (!record.value.empty()) {
         Json value = Json::parse(record.value, nullptr, false);
@@ -21,7 +21,8 @@
 }
 }  // namespace
 
-// The end of a job comes before its pages', which then are seen as its own and not as orphaned.
+// Applies job records before pages: removing a job marks its pages as orphaned, and the deletions of pages in
+// the same transaction then clear these marks.
 void apply_committed(StateCache& state_cache, const Transaction& transaction, Revision revision) {
     for (const auto& write : transaction.writes)
         if (is_job(write.key)) state_cache.apply({write.key, write.value, revision});
@@ -36,12 +37,12 @@
         if (!keys::is_watched(write.key)) continue;
         wire::StoredRecord record{write.key, write.value ? write.value->dump() : "", revision.value()};
         bytes += record.value.size();
-        if (bytes <= max_record_bytes) records.push_back(std::move(record));
+        if (bytes <= max_message_record_bytes) records.push_back(std::move(record));
     }
     return records;
 }
 
-// Jobs before pages, as in apply_committed().
+// Applies job records before pages, for the same reason as apply_committed().
 void apply_stored_records(StateCache& state_cache, const std::vector<wire::StoredRecord>& records) {
     for (const auto& record : records)
         if (is_job(record.key)) apply_stored_record(state_cache, record);
--- a/src/jobs/committed_records.h
+++ b/src/jobs/committed_records.h
@@ -1,5 +1,5 @@
-/// The records that a commit left: into this node's state cache at once, and to the leaders that forwarded
-/// operations, so that nobody acts on an older view until the watch brings them.
+/// Applies the records of a commit to the state cache, on this node and on the leaders that forwarded the
+/// operations. Without this, they would decide on outdated records until the watch delivers the new ones.
 #pragma once
 #include <vector>
 
@@ -9,15 +9,16 @@
 
 namespace zincdyke {
 
-/// Applies what `transaction` wrote, committed at `revision`, to the cache.
+/// Applies the writes of `transaction`, which was committed at `revision`, to the state cache.
 void apply_committed(StateCache& state_cache, const Transaction& transaction, Revision revision);
 
-/// The live records that `transaction` wrote, as a message to a peer carries them; no more than fit one.
+/// Returns the watched records that `transaction` wrote, in the format of peer messages. Records that exceed
+/// the size limit of one message are omitted.
 [[nodiscard]] std::vector<wire::StoredRecord> stored_records(const Transaction& transaction,
                                                              Revision revision);
 
-/// Applies the records of a peer's commit to the cache. Pages of jobs that the cache doesn't know, and values
-/// that are no JSON, are left out: the watch brings them.
+/// Applies the records of another controller's commit to the state cache. Skips pages whose job is not in the
+/// cache and values that are not valid JSON; the watch delivers those records.
 void apply_stored_records(StateCache& state_cache, const std::vector<wire::StoredRecord>& records);
 
 }  // namespace zincdyke
--- a/src/jobs/final_state_cache.h
+++ b/src/jobs/final_state_cache.h
@@ -1,4 +1,4 @@
-/// Final states of jobs, as read from the key-value store.
+/// A bounded cache of the final states of jobs, as read from the key-value store.
 #pragma once
 #include <cstdint>
 #include <list>
@@ -9,20 +9,22 @@
 
 namespace zincdyke {
 
-/// How a job ended. It never changes.
+/// The immutable final state of a job.
 struct FinalState {
-    wire::Phase phase = wire::Phase::done;  ///< done or cancelled
-    std::int64_t tasks = 0;                 ///< that the job had
+    wire::Phase phase = wire::Phase::done;  ///< either done or cancelled
+    std::int64_t task_count = 0;
 };
 
-/// The final states used last, up to a number of them. The least recently used make room for new ones.
+/// A cache of final states that evicts the least recently used entry when it is full.
 class FinalStateCache {
   public:
     explicit FinalStateCache(std::size_t max_entries) : max_entries_(max_entries) {}
 
-    /// Null when the job's final state is not in the cache. Valid until the next call of `put`.
+    /// Returns the job's final state, or null if it is not in the cache. The pointer is valid until the next
+    /// call of `put`.
     [[nodiscard]] const FinalState* find(const JobId& id);
-    /// Does nothing if the job is known: final states don't change.
+    /// Adds a job's final state. Does nothing if the cache has the job already, since final states are
+    /// immutable.
     void put(const JobId& id, FinalState state);
 
   private:
@@ -31,8 +33,8 @@
         FinalState state;
     };
     std::size_t max_entries_;
-    std::list<Entry> entries_;  // most recently used first
-    std::unordered_map<JobId, std::list<Entry>::iterator> by_job_;
+    std::list<Entry> entries_;  // ordered from most to least recently used
+    std::unordered_map<JobId, std::list<Entry>::iterator> entries_by_job_;
 };
 
 }  // namespace zincdyke
--- a/src/jobs/guarantees.h
+++ b/src/jobs/guarantees.h
@@ -1,4 +1,4 @@
-/// Which jobs their teams' guaranteed amounts cover.
+/// Computes which jobs are covered by the guaranteed quota of their team.
 #pragma once
 #include <unordered_set>
 
@@ -6,8 +6,9 @@
 
 namespace zincdyke {
 
-/// The jobs that fit their team's guarantee together with the team's earlier unfinished ones. Their addresses
-/// are those of the cache's jobs, and hold as long as it isn't changed. One pass over all jobs.
+/// Returns the unfinished jobs that fit into their team's guaranteed quota, counted in the order of
+/// submission. The pointers refer to jobs in the state cache and are valid until the cache changes. Visits
+/// every job of the cache.
 [[nodiscard]] std::unordered_set<const Job*> jobs_within_guarantee(const StateCache& state_cache);
 
 }  // namespace zincdyke
--- a/src/jobs/job_record_writer.cpp
+++ b/src/jobs/job_record_writer.cpp
@@ -21,40 +21,41 @@
 
 void JobRecordWriter::close_job(const JobId& id) {
     const Job* job = state_cache_.job(id);
-    // A start committed just before the cancellation must have been read before its page may go.
-    if (job == nullptr || closing_.contains(id) || state_cache_.applied_revision < job->version) return;
+    // A start that was committed just before the cancellation must be in the cache before the job's pages are
+    // deleted.
+    if (job == nullptr || closing_jobs_.contains(id) || state_cache_.applied_revision < job->version) return;
     Transaction transaction;
     transaction.conditions.push_back({keys::job(id), job->version});
     transaction.writes.push_back({keys::job(id), std::nullopt, std::nullopt});
     transaction.writes.push_back({keys::final_state(id), final_record(*job), std::nullopt});
     for (const auto& key : state_cache_.written_pages(*job)) {
-        // The rest are deleted later, as orphaned pages.
+        // Pages that don't fit into the transaction are deleted later, as orphaned pages.
         if (transaction.writes.size() == settings_.strictest_limits.txn_ops) break;
         transaction.writes.push_back({key, std::nullopt, std::nullopt});
     }
-    closing_.insert(id);
+    closing_jobs_.insert(id);
     store_.commit(transaction, RequestPriority::report, [this, id, transaction](const CommitResult& result) {
         if (result.outcome == Outcome::ok) {
             apply_committed(state_cache_, transaction, result.revision);
             log::info("event=job_closed job={} revision={}", id.value(), result.revision.value());
         }
-        env_.after(close_retry_delay, [this, id] { closing_.erase(id); });
+        env_.after(close_retry_delay, [this, id] { closing_jobs_.erase(id); });
     });
 }
 
 void JobRecordWriter::resize_pages(const JobId& id) {
     const Job* job = state_cache_.job(id);
-    if (job == nullptr || !resizing_.insert(id).second) return;
+    if (job == nullptr || !resizing_jobs_.insert(id).second) return;
     Job resized = *job;
     resized.small_page_size = state_cache_.safe_page_size();
     Transaction transaction;
     transaction.conditions.push_back({keys::job(id), job->version});
     transaction.writes.push_back({keys::job(id), state_cache_.encode_job(resized), std::nullopt});
     store_.commit(transaction, RequestPriority::report, [this, id, transaction](const CommitResult& result) {
-        // If not done, what waits is tried again in a while, with the record as it then is.
-        const bool is_done = result.outcome == Outcome::ok;
-        env_.after(is_done ? Duration(0) : resize_retry_delay, [this, id] { resizing_.erase(id); });
-        if (!is_done) return;
+        // The operations that need smaller pages stay queued and request the change again after a failure.
+        const bool is_committed = result.outcome == Outcome::ok;
+        env_.after(is_committed ? Duration(0) : resize_retry_delay, [this, id] { resizing_jobs_.erase(id); });
+        if (!is_committed) return;
         log::info("event=pages_resized job={} size={} revision={}", id.value(), state_cache_.safe_page_size(),
                   result.revision.value());
         apply_committed(state_cache_, transaction, result.revision);
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -1,4 +1,5 @@
-/// Writes job records that no task's start or end writes: the final one, and the change to smaller pages.
+/// Writes job records outside the transactions that commit task starts and ends: a job's final record, and
+/// the switch to smaller pages.
 #pragma once
 #include <set>
 
@@ -9,17 +10,19 @@
 
 namespace zincdyke {
 
-/// One write for a job is under way at a time; what fails is asked for again by whoever still needs it. Must
-/// outlive the event loop's timers and requests.
+/// Writes job records, at most one write of each kind per job at a time. Failed writes are not retried here:
+/// the callers call again while the write is still needed. The writer must outlive the timers and store
+/// requests that it starts.
 class JobRecordWriter {
   public:
-    /// The references must outlive the writer.
+    /// Keeps all reference arguments; they must outlive the writer.
     JobRecordWriter(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache);
-    /// Turns a job that is over into its final record, and deletes as many of its pages as fit.
+    /// Replaces the record of a finished job by its final record, and deletes as many of its pages as fit
+    /// into the transaction.
     void close_job(const JobId& id);
-    /// Has the job's record name pages of the size that surely fits the strictest limits. Every commit of a
-    /// task's start or end names that record's version: none that was built for the larger pages is carried
-    /// out after this one.
+    /// Sets the page size in the job's record to the size that fits the strictest store limits. Every commit
+    /// of a task start or end has the job record's version as a condition, so no transaction that was built
+    /// for the larger pages can succeed afterwards.
     void resize_pages(const JobId& id);
 
   private:
@@ -27,11 +30,11 @@
     const Settings& settings_;
     StoreClient& store_;
     StateCache& state_cache_;
-    std::set<JobId> closing_;
-    std::set<JobId> resizing_;
+    std::set<JobId> closing_jobs_;
+    std::set<JobId> resizing_jobs_;
 };
 
-/// The value of the final record of a job that is over: cancelled, or else done.
+/// Returns the value of a finished job's final record, which says whether the job was cancelled or is done.
 [[nodiscard]] Json final_record(const Job& job);
 
 }  // namespace zincdyke
--- a/src/jobs/job_routes.h
+++ b/src/jobs/job_routes.h
@@ -1,4 +1,4 @@
-/// The paths below /api/jobs, and what each asks for.
+/// Maps HTTP methods and paths below /api/jobs to actions of the jobs API.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -8,23 +8,23 @@
 
 namespace zincdyke {
 
-/// What a user may ask of the jobs interface.
+/// The actions that the jobs API offers to users.
 enum class JobAction : std::uint8_t { submit, get, cancel };
 
-/// A request's parsed target.
+/// The action and the job that a request's method and path name.
 struct JobTarget {
     JobAction action = JobAction::submit;
-    JobId id;  ///< Valid; empty for a submission.
+    JobId id;  ///< a well-formed job id; empty for a submission
 };
 
-/// Why a method and path name no action.
+/// The reasons why a request's method and path do not name an action of the jobs API.
 enum class RoutingError : std::uint8_t {
-    no_such_path,  ///< The path is none of the jobs interface.
+    no_such_path,  ///< the path does not belong to the jobs API
     method_not_allowed,
-    no_such_job,  ///< The path names a job by something that is no job's id.
+    no_such_job,  ///< the path contains a malformed job id
 };
 
-/// `path` may have a query, which is ignored.
+/// Parses the method and path of a request. A query string in `path` is ignored.
 [[nodiscard]] tl::expected<JobTarget, RoutingError> parse_job_target(std::string_view method,
                                                                      std::string_view path);
 
--- a/src/jobs/jobs_api.h
+++ b/src/jobs/jobs_api.h
@@ -1,4 +1,4 @@
-/// The users' interface: submissions, questions and cancellations of jobs.
+/// The HTTP API through which users submit, query and cancel jobs.
 #pragma once
 #include <functional>
 #include <memory>
@@ -16,36 +16,40 @@
 
 namespace zincdyke {
 
-/// Answers the requests below /api/jobs from the key-value store: what a user is told holds whichever
-/// controller is asked next. Submissions and cancellations are answered once they are committed.
+/// Handles the HTTP requests below /api/jobs. Responses reflect every change that any controller has reported
+/// to a user before. Submissions and cancellations are confirmed only after they are committed to the
+/// key-value store.
 class JobsApi {
   public:
+    /// Keeps all reference arguments; they must outlive this object.
     JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
             ClusterCoordinator& cluster, PeerChannel& peers);
 
-    /// Handles paths below /api/jobs, and answers now or later; false when the path is none of them.
+    /// Handles a request below /api/jobs; `reply` is called during this call or later from the event loop.
+    /// Returns false, without calling `reply`, for any other path.
     [[nodiscard]] bool handle(const HttpRequest& request, const Reply& reply);
-    /// Whether submissions can be judged: the state is loaded, and the machine types are known.
+    /// Returns whether submissions can be validated: the state is loaded, and the machine types are known.
     [[nodiscard]] bool ready() const;
 
   private:
-    // What the key-value store says of a job.
-    struct LiveJob {
-        Job job;  // its pages are not filled in
+    struct UnfinishedJob {
+        Job job;  // the job without its pages
     };
     struct NoSuchJob {};
     struct LookupFailed {};
-    using JobLookup = std::variant<LookupFailed, NoSuchJob, LiveJob, FinalState>;
-    using OnLookup = std::function<void(const JobLookup&)>;
-    // A submission and a cancellation under way; each is tried again until `give_up_at`.
+    // The result of looking up a job in the key-value store.
+    using JobLookup = std::variant<LookupFailed, NoSuchJob, UnfinishedJob, FinalState>;
+    using LookupCallback = std::function<void(const JobLookup&)>;
+    // A submission in progress; its commit is retried until `deadline`.
     struct Submission {
         Job job;
-        SteadyTime give_up_at;
+        SteadyTime deadline;
         Reply reply;
     };
+    // A cancellation in progress; its commit is retried until `deadline`.
     struct Cancellation {
         JobId id;
-        SteadyTime give_up_at;
+        SteadyTime deadline;
         Reply reply;
     };
 
@@ -54,19 +58,19 @@
     void submit(const HttpRequest& request, const Reply& reply);
     void cancel(const Cancellation& cancellation);
 
-    void look_up(const JobId& id, const OnLookup& done);
-    void look_up_final(const JobId& id, const OnLookup& done);
-    void answer_known_or(const JobId& id, const HttpResponse& rejection, const Reply& reply);
-    std::optional<std::string> reason_never_runs(const wire::JobSpec& spec) const;
+    void look_up(const JobId& id, const LookupCallback& callback);
+    void look_up_final_state(const JobId& id, const LookupCallback& callback);
+    void reject_unless_exists(const JobId& id, const HttpResponse& rejection, const Reply& reply);
+    std::optional<std::string> rejection_reason(const wire::JobSpec& spec) const;
     std::optional<std::string> expected_zone(const wire::JobSpec& spec) const;
     void commit_submission(const std::shared_ptr<const Submission>& submission);
     void on_submission_committed(const std::shared_ptr<const Submission>& submission, const Json& record,
                                  const CommitResult& result);
     void commit_cancellation(const Cancellation& cancellation, const Job& job);
-    bool may_retry(SteadyTime give_up_at) const;
+    bool may_retry(SteadyTime deadline) const;
 
-    HttpResponse answer(const JobId& id, const JobLookup& lookup) const;
-    HttpResponse live_answer(const JobId& id, bool is_cancelled) const;
+    HttpResponse job_response(const JobId& id, const JobLookup& lookup) const;
+    HttpResponse unfinished_job_response(const JobId& id, bool is_cancelled) const;
 
     Env& env_;
     const Settings& settings_;
--- a/src/jobs/operation_rules.h
+++ b/src/jobs/operation_rules.h
@@ -1,5 +1,5 @@
-/// Whether a start or an end may change its task, judged by the records as they were last read. Pure
-/// functions.
+/// The rules that decide whether a task start or end may be applied to the cached records. The functions have
+/// no side effects beyond their arguments.
 #pragma once
 #include <vector>
 
@@ -8,24 +8,24 @@
 
 namespace zincdyke {
 
-/// What came of applying an operation to a page's tasks.
+/// The result of applying an operation to a page's tasks; all values except `applied` are rejections.
 enum class ApplyResult : std::uint8_t {
     applied,
-    not_in_page,         ///< the page has no such task
-    superseded,          ///< the task is no longer in the state that the operation is about
-    never_completes,     ///< a service's replica is never done
-    job_cancelled,       ///< nothing of it is started any more
-    waited_too_long,     ///< a start older than `start_commit_timeout`
-    no_attempt_allowed,  ///< tasks of a gang's failed attempt are still on machines
+    not_in_page,         ///< the page does not contain the operation's task
+    superseded,          ///< the task has left the state in which the operation applies
+    never_completes,     ///< a service's replicas are restarted instead of being completed
+    job_cancelled,       ///< tasks of a cancelled job are not started
+    start_expired,       ///< the start waited for longer than `start_commit_timeout`
+    no_attempt_allowed,  ///< tasks of the gang's failed attempt are still placed on machines
     unknown_team,
     over_quota,
-    zone_full  ///< the job is spread, and its page has as many tasks in the zone as it may
+    zone_full  ///< a job spread over zones has reached its page's limit of tasks in this zone
 };
 
-/// Applies `operation` to `tasks`, the tasks of `page` in order, and to `usage`, its team's quota usage. Both
-/// are changed only where the result is `applied`.
+/// Applies a task start or end to `page_tasks`, the tasks of page `page` in order, and to `team_usage`, the
+/// quota usage of the job's team. Both are changed only if the result is `ApplyResult::applied`.
 [[nodiscard]] ApplyResult apply_operation(const StateCache& state_cache, SteadyTime now, const Job& job,
                                           const PendingOperation& operation, std::uint32_t page,
-                                          std::vector<TaskState>& tasks, QuotaUsage& usage);
+                                          std::vector<TaskState>& page_tasks, QuotaUsage& team_usage);
 
 }  // namespace zincdyke
--- a/src/jobs/pending_operation.cpp
+++ b/src/jobs/pending_operation.cpp
@@ -14,15 +14,15 @@
         case wire::ExitCause::done:
             return ReleaseReason::done;
         case wire::ExitCause::halted:
-            return ReleaseReason::halted;
+            return ReleaseReason::stopped;
         case wire::ExitCause::peers:
-            return ReleaseReason::peers;
+            return ReleaseReason::gang_member_lost;
         case wire::ExitCause::alone:
-            return ReleaseReason::alone;
+            return ReleaseReason::gang_wait_timed_out;
         case wire::ExitCause::error:
             return ReleaseReason::error;
         case wire::ExitCause::no_room:
-            return ReleaseReason::no_room;
+            return ReleaseReason::no_capacity;
         case wire::ExitCause::busy:
             return ReleaseReason::busy;
         case wire::ExitCause::unknown:
@@ -37,15 +37,15 @@
             return "none";
         case ReleaseReason::done:
             return "done";
-        case ReleaseReason::halted:
+        case ReleaseReason::stopped:
             return "halted";
-        case ReleaseReason::peers:
+        case ReleaseReason::gang_member_lost:
             return "peers";
-        case ReleaseReason::alone:
+        case ReleaseReason::gang_wait_timed_out:
             return "alone";
         case ReleaseReason::error:
             return "error";
-        case ReleaseReason::no_room:
+        case ReleaseReason::no_capacity:
             return "no_room";
         case ReleaseReason::busy:
             return "busy";
--- a/src/jobs/pending_operation.h
+++ b/src/jobs/pending_operation.h
@@ -1,5 +1,5 @@
-/// Starts and ends of tasks that wait to be committed, and the names of the records and queues that they
-/// wait for. Plain values without threads or resources of their own.
+/// Value types for task starts and ends that are waiting to be committed, and for the keys of the pages and
+/// commit queues that they belong to.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -13,82 +13,85 @@
 
 namespace zincdyke {
 
-/// What a commit does to a task. The values are those of `wire::TaskOperation::event`.
+/// The kinds of changes that are committed to a task. The values are those of `wire::TaskOperation::event`.
 enum class OperationKind : std::uint8_t {
-    start,       ///< a pending task is placed on a machine
-    completion,  ///< its attempt ended well: it is done for good
-    release      ///< its attempt is over, or surely never began: it is pending again
+    start,       ///< places a pending task on a machine
+    completion,  ///< marks a task as done after its attempt succeeded
+    release      ///< makes a task pending again after an attempt that did not complete it
 };
-/// The kind that a peer's message names; nothing for a number that stands for none.
+/// Converts an event number of a peer message; returns nothing for an unknown number.
 [[nodiscard]] std::optional<OperationKind> operation_kind(std::uint8_t event);
 
-/// Why an attempt is taken for over. The first group is what its worker reported (`wire::ExitCause`).
+/// The reasons why a task's attempt is released. The values up to `unknown` correspond to the exit causes
+/// that workers report (`wire::ExitCause`).
 enum class ReleaseReason : std::uint8_t {
     no_cause,
     done,
-    halted,
-    peers,
-    alone,
+    stopped,  ///< the task was stopped by command
+    gang_member_lost,
+    gang_wait_timed_out,  ///< not all members of the gang were ready in time
     error,
-    no_room,
+    no_capacity,
     busy,
     unknown,
-    missing_from_heartbeat,  ///< it ran, and its machine's heartbeat no longer lists it
-    start_not_acknowledged,  ///< its start command went unheeded
-    never_started,           ///< no start command for it was ever given
-    machine_terminated,      ///< the cloud confirmed that its machine is gone
-    lease_expired            ///< its machine's lease ran out
+    missing_from_heartbeat,  ///< the task ran, but its machine's heartbeat no longer lists it
+    start_not_acknowledged,  ///< the worker did not acknowledge the start command
+    never_started,           ///< no start command was sent
+    machine_terminated,      ///< the cloud confirmed the termination of the task's machine
+    lease_expired            ///< the lease of the task's machine expired
 };
-/// The reason that corresponds to what a worker reported.
+/// Converts the exit cause that a worker reported.
 [[nodiscard]] ReleaseReason release_reason(wire::ExitCause cause);
-/// The reason's name in log lines.
+/// Returns the name of a release reason in log lines.
 [[nodiscard]] std::string_view release_reason_name(ReleaseReason reason);
 
-/// Told from the event loop, never from within the call that was given it, what came of a start: whether the
-/// task is placed on the machine.
-using StartCallback = std::function<void(bool placed)>;
+/// Called on the event-loop thread with the result of a task start: whether the task is placed on the
+/// machine. Never called during the call that it was passed to.
+using StartCallback = std::function<void(bool is_placed)>;
 
-/// The leader that forwarded an operation to this node, and that leader's id for it.
+/// Identifies an operation that a shard leader forwarded to this node, by the leader and its request id.
 struct ForwardedRequest {
     NodeName leader;
     std::uint64_t request_id = 0;
 };
 
-/// One start or end of a task, from when it is decided until its commit has been answered.
+/// One task start or end, from the decision until the store has responded to its commit.
 struct PendingOperation {
     OperationKind kind = OperationKind::start;
     TaskIndex task = 0;
-    Attempt attempt = 0;  ///< the one that ended; of no meaning for a start
+    Attempt attempt = 0;  ///< the attempt that ended; unused for a start
     MachineId machine;
-    std::string zone;                             ///< of the machine, for a start
-    std::optional<ReleaseReason> release_reason;  ///< of this node's own releases
-    /// The leader's term under which this was decided. Evidence gathered in one term proves nothing in
-    /// another: between the two, another leader may have renewed the lease or started the task again.
+    std::string zone;                             ///< the zone of the machine; set only for a start
+    std::optional<ReleaseReason> release_reason;  ///< set only for a release decided by this node
+    /// The leader's term in which the operation was decided; the operation is valid only in that term.
+    /// Between two terms, another leader may have renewed the machine's lease or started the task again.
     Term term;
-    SteadyTime accepted_at{};                   ///< when this node took it over
+    SteadyTime accepted_at{};                   ///< when this node decided or received the operation
     StartCallback on_result;                    ///< may be empty
-    std::optional<ForwardedRequest> forwarded;  ///< nothing: decided by this node
+    std::optional<ForwardedRequest> forwarded;  ///< empty if this node decided the operation
 
     [[nodiscard]] bool is_start() const { return kind == OperationKind::start; }
 };
-/// The `event=` and `reason=` of an operation in the log line of its commit.
+/// Returns the value of `event=` in the log line for an operation's commit.
 [[nodiscard]] std::string_view committed_event_name(const PendingOperation& operation);
+/// Returns the value of `reason=` in the log line for an operation's commit.
 [[nodiscard]] std::string_view log_reason(const PendingOperation& operation);
 
-/// One page of a job's tasks, in the job's present page size.
+/// Identifies a page of a job's tasks, numbered by the job's current page size.
 struct PageKey {
     JobId job;
     std::uint32_t page = 0;
     auto operator<=>(const PageKey&) const = default;
 };
 
-/// What is committed one after another: the starts of a limited team, or else what happens on one page. Ends
-/// need no quota and don't wait for the team's lock.
+/// Identifies a commit queue, whose transactions are sent one after another. All starts of a team with a
+/// quota limit share one queue; other starts and all ends have a queue per page, since they need no team
+/// lock.
 struct CommitQueueKey {
     TeamName team;
-    PageKey page;  ///< where `team` is empty
+    PageKey page;  ///< set only if `team` is empty
     auto operator<=>(const CommitQueueKey&) const = default;
-    [[nodiscard]] bool is_of_team() const { return !team.empty(); }
+    [[nodiscard]] bool is_team_queue() const { return !team.empty(); }
 };
 
 }  // namespace zincdyke
--- a/src/jobs/placement_backoff.cpp
+++ b/src/jobs/placement_backoff.cpp
@@ -5,38 +5,39 @@
 
 namespace zincdyke {
 namespace {
-// One round at a time shows whether there is capacity at all.
-constexpr Duration round_interval = std::chrono::milliseconds(30);  // of one kind
+// The minimum interval between rounds for one kind of jobs. The result of one round shows whether there is
+// capacity for the others.
+constexpr Duration min_round_interval = std::chrono::milliseconds(30);
 }  // namespace
 
 bool PlacementBackoff::may_start_round(const Job& job, SteadyTime now) const {
     const JobKind kind = JobKind::of(job);
-    if (const auto next = next_round_.find(kind); next != next_round_.end() && next->second > now)
+    if (const auto next = next_round_at_.find(kind); next != next_round_at_.end() && next->second > now)
         return false;
     const auto failure = failures_.find(kind);
-    return failure == failures_.end() || failure->second.until <= now ||
+    return failure == failures_.end() || failure->second.retry_at <= now ||
            !job.spec.need.covers(failure->second.need);
 }
 
 void PlacementBackoff::on_round_started(const JobKind& kind, SteadyTime now) {
-    next_round_[kind] = now + round_interval;
+    next_round_at_[kind] = now + min_round_interval;
 }
 
-void PlacementBackoff::on_placement_failed(const Job& job, SteadyTime now, SteadyTime until) {
+void PlacementBackoff::on_placement_failed(const Job& job, SteadyTime now, SteadyTime retry_at) {
     Failure& failure = failures_[JobKind::of(job)];
-    // The least that failed counts, as long as it holds.
-    if (failure.until <= now || failure.need.covers(job.spec.need)) failure.need = job.spec.need;
-    failure.types = job.spec.types;
-    failure.until = until;
+    // The smallest need that failed is kept until its delay has expired.
+    if (failure.retry_at <= now || failure.need.covers(job.spec.need)) failure.need = job.spec.need;
+    failure.machine_types = job.spec.types;
+    failure.retry_at = retry_at;
 }
 
 std::set<JobKind> PlacementBackoff::on_capacity_freed(const std::string& machine_type,
-                                                      const Resources& free) {
+                                                      const Resources& freed) {
     std::set<JobKind> kinds;
     std::erase_if(failures_, [&](const auto& entry) {
         const auto& [kind, failure] = entry;
-        if (!free.covers(failure.need)) return false;
-        const auto& types = failure.types;
+        if (!freed.covers(failure.need)) return false;
+        const auto& types = failure.machine_types;
         if (types && std::find(types->begin(), types->end(), machine_type) == types->end()) return false;
         kinds.insert(kind);
         return true;
@@ -44,9 +45,9 @@
     return kinds;
 }
 
-void PlacementBackoff::forget_expired(SteadyTime now) {
-    std::erase_if(failures_, [&](const auto& entry) { return entry.second.until <= now; });
-    std::erase_if(next_round_, [&](const auto& entry) { return entry.second <= now; });
+void PlacementBackoff::remove_expired(SteadyTime now) {
+    std::erase_if(failures_, [&](const auto& entry) { return entry.second.retry_at <= now; });
+    std::erase_if(next_round_at_, [&](const auto& entry) { return entry.second <= now; });
 }
 
 }  // namespace zincdyke
--- a/src/jobs/placement_backoff.h
+++ b/src/jobs/placement_backoff.h
@@ -1,4 +1,4 @@
-/// When the next placement round of a kind of job may start.
+/// Limits how often placement rounds are started for jobs of the same kind.
 #pragma once
 #include <compare>
 #include <map>
@@ -13,8 +13,8 @@
 
 namespace zincdyke {
 
-/// Jobs of one kind find capacity on the same machines. What they need varies from job to job and is no part
-/// of the kind: with it, each waiting job of a burst would be a kind of its own, and all would ask anew.
+/// Groups jobs that can be placed on the same machines, by job class and placement constraints. The amount of
+/// resources that a job needs is not part of the key, so that the jobs of a burst share one kind.
 struct JobKind {
     std::string job_class;
     sched::PlacementConstraints constraints;
@@ -25,28 +25,32 @@
     auto operator<=>(const JobKind&) const = default;
 };
 
-/// Keeps the rounds of a burst from taking the controllers' processors: rounds of one kind keep a distance,
-/// and after one failed, jobs of its kind that need as much or more wait until capacity comes free, or for a
-/// time. Pure: knows no clock.
+/// Limits the CPU time that placement rounds take during a burst of jobs. Rounds for one kind of jobs keep a
+/// minimum interval. After a failed round, jobs of the kind that need at least as many resources wait until
+/// capacity is freed or a delay has passed. All times are passed in by the caller.
 class PlacementBackoff {
   public:
+    /// Returns whether a placement round for the job may start now.
     [[nodiscard]] bool may_start_round(const Job& job, SteadyTime now) const;
+    /// Records the start of a round, which delays the next round for the same kind of jobs.
     void on_round_started(const JobKind& kind, SteadyTime now);
-    /// Tasks of this job found no capacity: nothing that needs as much is tried before `until`.
-    void on_placement_failed(const Job& job, SteadyTime now, SteadyTime until);
-    /// Capacity came free on machines of a type. Returns the kinds that may ask again for that reason.
-    std::set<JobKind> on_capacity_freed(const std::string& machine_type, const Resources& free);
-    /// Forgets what no longer holds a round back.
-    void forget_expired(SteadyTime now);
+    /// Records that no capacity was found for tasks of the job: no round starts before `retry_at` for jobs of
+    /// its kind that need at least as many resources.
+    void on_placement_failed(const Job& job, SteadyTime now, SteadyTime retry_at);
+    /// Ends the delay of all kinds of jobs whose failed tasks fit into the capacity that was freed on a
+    /// machine of this type. Returns these kinds.
+    std::set<JobKind> on_capacity_freed(const std::string& machine_type, const Resources& freed);
+    /// Removes entries that no longer delay a round.
+    void remove_expired(SteadyTime now);
 
   private:
     struct Failure {
         Resources need;
-        std::optional<std::vector<std::string>> types;  // nothing: any
-        SteadyTime until{};
+        std::optional<std::vector<std::string>> machine_types;  // empty if all types are allowed
+        SteadyTime retry_at{};
     };
     std::map<JobKind, Failure> failures_;
-    std::map<JobKind, SteadyTime> next_round_;
+    std::map<JobKind, SteadyTime> next_round_at_;
 };
 
 }  // namespace zincdyke
--- a/src/jobs/placement_gatherer.cpp
+++ b/src/jobs/placement_gatherer.cpp
@@ -5,42 +5,43 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // from the first response
-constexpr Duration sweep_interval = std::chrono::milliseconds(100);
-// A response that comes later would begin the round anew, and be decided alone.
+constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // measured from a round's first response
+constexpr Duration cleanup_interval = std::chrono::milliseconds(100);
+// Decided rounds are kept this long to recognize late responses; after that, a late response would start a
+// new round.
 constexpr Duration round_retention = std::chrono::seconds(6);
 }  // namespace
 
 PlacementGatherer::PlacementGatherer(Env& env, const StateCache& state_cache, PeerChannel& peers)
     : env_(env), state_cache_(state_cache), peers_(peers) {}
 
-void PlacementGatherer::start() { forget_old_rounds(); }
+void PlacementGatherer::start() { remove_old_rounds(); }
 
-void PlacementGatherer::forget_old_rounds() {
-    env_.after(sweep_interval, [this] { forget_old_rounds(); });
+void PlacementGatherer::remove_old_rounds() {
+    env_.after(cleanup_interval, [this] { remove_old_rounds(); });
     const SteadyTime now = env_.now();
     std::erase_if(rounds_,
-                  [&](const auto& entry) { return now - entry.second.first_response > round_retention; });
+                  [&](const auto& entry) { return now - entry.second.first_response_at > round_retention; });
 }
 
 void PlacementGatherer::on_placement_response(const wire::PlacementResponse& response) {
     Round& round = rounds_[response.round];
     if (round.is_decided) {
-        // Too late for the choice: an empty decision frees the reserved capacity at once.
+        // The round is already decided: an empty decision makes the scorer release its reserved capacity.
         peers_.send(response.scorer, wire::PlacementDecision{response.round, response.job, {}});
         return;
     }
-    if (round.responded.empty()) {
+    if (round.responded_scorers.empty()) {
         round.job = response.job;
         round.tasks = response.tasks;
-        round.expected = response.scorers;
-        round.first_response = env_.now();
+        round.expected_responses = response.scorers;
+        round.first_response_at = env_.now();
         round.timer = env_.after(gather_timeout, [this, id = response.round] { decide(id); });
     }
-    if (!round.responded.insert(response.scorer).second) return;
+    if (!round.responded_scorers.insert(response.scorer).second) return;
     round.is_gang = round.is_gang || response.is_gang;
     for (const auto& offer : response.offers) round.offers.push_back({offer, response.scorer});
-    if (round.responded.size() >= round.expected) {
+    if (round.responded_scorers.size() >= round.expected_responses) {
         env_.cancel(round.timer);
         decide(response.round);
     }
@@ -53,23 +54,24 @@
     round.is_decided = true;
     ++counts_.rounds_decided;
     counts_.total_decision_ms +=
-        static_cast<std::uint64_t>((env_.now() - round.first_response).count() / 1000);
+        static_cast<std::uint64_t>((env_.now() - round.first_response_at).count() / 1000);
     const Job* job = state_cache_.job(round.job);
     std::optional<TaskIndex> max_per_zone;
     if (job != nullptr && job->spec.spread) max_per_zone = sched::spread_limit(job->spec.tasks);
     auto accepted = sched::choose(std::move(round.offers), round.tasks, round.is_gang, max_per_zone,
                                   env_.rng(), job != nullptr && job->spec.one_zone);
     round.offers.clear();
-    std::set<TaskIndex> failed(round.tasks.begin(), round.tasks.end());
-    for (const auto& scorer : round.responded) {
+    std::set<TaskIndex> failed_tasks(round.tasks.begin(), round.tasks.end());
+    for (const auto& scorer : round.responded_scorers) {
         wire::PlacementDecision decision{id, round.job, {}};
-        if (const auto of_scorer = accepted.find(scorer); of_scorer != accepted.end())
-            decision.accepted = std::move(of_scorer->second);
-        for (const auto& assignment : decision.accepted) failed.erase(assignment.task);
+        if (const auto assignments = accepted.find(scorer); assignments != accepted.end())
+            decision.accepted = std::move(assignments->second);
+        for (const auto& assignment : decision.accepted) failed_tasks.erase(assignment.task);
         peers_.send(scorer, std::move(decision));
     }
-    if (!failed.empty())
-        peers_.send(id.relay, wire::PlacementFailure{id, round.job, {failed.begin(), failed.end()}});
+    if (!failed_tasks.empty())
+        peers_.send(id.relay,
+                    wire::PlacementFailure{id, round.job, {failed_tasks.begin(), failed_tasks.end()}});
 }
 
 }  // namespace zincdyke
--- a/src/jobs/placement_gatherer.h
+++ b/src/jobs/placement_gatherer.h
@@ -1,4 +1,4 @@
-/// The gatherer of placement rounds: collects the scorers' responses and decides among their offers.
+/// The gatherer of placement rounds, which collects the scorers' responses and chooses among their offers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,19 +13,23 @@
 
 namespace zincdyke {
 
-/// Decides rounds of any relay, as the relays' requests choose a gatherer by hash. A round is decided once
-/// all expected scorers have responded, or a fixed time after the first response: it doesn't wait for
-/// stragglers.
+/// Decides the placement rounds for which a relay selected this node as gatherer. A round is decided when all
+/// expected scorers have responded, or at a fixed timeout after the first response.
 class PlacementGatherer {
   public:
+    /// Keeps all reference arguments; they must outlive the gatherer.
     PlacementGatherer(Env& env, const StateCache& state_cache, PeerChannel& peers);
+    /// Starts the periodic removal of old rounds.
     void start();
+    /// Handles a scorer's response. A response to a round that is already decided is rejected by an empty
+    /// decision, so that the scorer releases the reserved capacity.
     void on_placement_response(const wire::PlacementResponse& response);
 
+    /// Totals since the process started.
     struct Counts {
         std::uint64_t rounds_decided = 0;
-        std::uint64_t total_decision_ms =
-            0;  ///< From the first response to the decision, all rounds together.
+        /// Time from the first response to the decision, summed over all rounds.
+        std::uint64_t total_decision_ms = 0;
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -35,14 +39,14 @@
         std::vector<TaskIndex> tasks;
         bool is_gang = false;
         std::vector<sched::ScoredOffer> offers;
-        std::set<NodeName> responded;
-        std::size_t expected = 0;
+        std::set<NodeName> responded_scorers;
+        std::size_t expected_responses = 0;
         Env::TimerId timer = 0;
         bool is_decided = false;
-        SteadyTime first_response{};
+        SteadyTime first_response_at{};
     };
     void decide(const wire::RoundId& id);
-    void forget_old_rounds();
+    void remove_old_rounds();
 
     Env& env_;
     const StateCache& state_cache_;
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -1,4 +1,4 @@
-/// The relay of this node's jobs: starts placement rounds for their waiting tasks.
+/// The relay, which starts placement rounds for the pending tasks of the jobs assigned to this node.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,51 +16,61 @@
 
 namespace zincdyke {
 
-/// Asks all scorers for places for the waiting tasks of the jobs that this node relays, and closes those that
-/// are over. Who gets which place is the gatherer's choice (PlacementGatherer).
+/// Sends placement requests for pending tasks to all scorers, and closes jobs that are finished. The
+/// PlacementGatherer of each round chooses among the scorers' offers.
 class Relay {
   public:
+    /// Keeps all reference arguments; they must outlive the relay.
     Relay(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
           ClusterCoordinator& cluster, TaskCommitter& committer, PeerChannel& peers);
+    /// Starts the periodic search for jobs with pending tasks.
     void start();
 
+    /// Handles a change or the removal of a job in the state cache.
     void on_job_changed(const JobId& id);
+    /// Schedules a new placement round for tasks that could not be placed.
     void on_placement_failure(const wire::PlacementFailure& failure);
-    void on_capacity_freed(const wire::CapacityFreedNotification& freed);
+    /// Retries jobs that were waiting for the capacity that has been freed.
+    void on_capacity_freed(const wire::CapacityFreedNotification& notification);
 
+    /// Totals since the process started.
     struct Counts {
-        std::uint64_t rounds_started = 0;     ///< Rounds.
-        std::uint64_t failed_placements = 0;  ///< Tasks for which a round found no place.
+        std::uint64_t rounds_started = 0;
+        /// Task placements that failed for lack of capacity or because of a conflict.
+        std::uint64_t failed_placements = 0;
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
-    // What is known of the rounds of a job while this node relays it.
+    // The state of placement for one job while this node is its relay.
     struct WaitingJob {
-        std::map<TaskIndex, SteadyTime> requested;  // in a round, or accepted and not yet seen placed
-        SteadyTime not_before{};                    // of its next round
-        std::optional<SteadyTime> failing_since;    // no task has been placed since a round failed then
-        std::optional<SteadyTime> relay_changed;    // when it was last passed to another relay
-        RestartBackoff restarts;                    // of a service's replicas
+        // Request times of tasks in a placement round; a task is removed when it is placed or the round
+        // fails.
+        std::map<TaskIndex, SteadyTime> requested_tasks;
+        SteadyTime next_round_at{};               // earliest start of the job's next placement round
+        std::optional<SteadyTime> failing_since;  // time of the first failed round since a task was placed
+        std::optional<SteadyTime> relay_changed_at;
+        RestartBackoff restart_backoff;  // used only for services
     };
 
-    void tick();
-    void forget_expired();
-    void plan_soon();
-    void plan();
-    std::vector<const Job*> jobs_to_place();
+    void run_periodic_work();
+    void remove_expired();
+    void schedule_scan();
+    void scan_jobs();
+    std::vector<const Job*> close_finished_and_list_pending_jobs();
     void sort_by_precedence(std::vector<const Job*>& jobs) const;
-    void note_placed_tasks(const Job& job, WaitingJob& waiting) const;
+    void remove_placed_tasks(const Job& job, WaitingJob& waiting) const;
 
-    // Each returns whether it did what its name says.
-    bool change_relay_if_stuck(const Job& job, WaitingJob& waiting);
+    // Returns whether a change of the job's relay was requested from the key-value store.
+    bool change_relay_if_failing(const Job& job, WaitingJob& waiting);
+    // Returns whether a placement request was sent.
     bool start_round(const Job& job, WaitingJob& waiting);
 
     std::vector<TaskIndex> tasks_to_request(const Job& job, WaitingJob& waiting) const;
-    bool is_due(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
-    /// Whether the team's quota allows so many tasks of the job to be requested, and the task may be started
-    /// again by now: a gang's only once its last attempt is over.
-    bool may_request(const Job& job, const TaskState& state, TaskIndex requested) const;
+    bool needs_request(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
+    // Returns whether the team's quota allows `requested_count` more tasks of the job, and whether the task
+    // may start a new attempt: a gang may do so only after all tasks of its last attempt have ended.
+    bool is_request_allowed(const Job& job, const TaskState& state, TaskIndex requested_count) const;
     void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
 
     Env& env_;
@@ -70,11 +80,11 @@
     ClusterCoordinator& cluster_;
     TaskCommitter& committer_;
     PeerChannel& peers_;
-    std::map<JobId, WaitingJob> waiting_;
+    std::map<JobId, WaitingJob> waiting_jobs_;
     PlacementBackoff backoff_;
-    std::uint64_t last_round_ = 0;
-    bool is_plan_scheduled_ = false;
-    SteadyTime last_plan_{};
+    std::uint64_t last_round_number_ = 0;
+    bool is_scan_scheduled_ = false;
+    SteadyTime last_scan_at_{};
     Counts counts_;
 };
 
--- a/src/jobs/restart_backoff.h
+++ b/src/jobs/restart_backoff.h
@@ -1,5 +1,4 @@
-/// How long a replica of a service waits before it is started again. One that keeps running is started at
-/// once; one that ends soon after each of its starts waits longer each time, up to a bound.
+/// Exponential backoff for restarting the replicas of a service.
 #pragma once
 #include <map>
 
@@ -7,18 +6,21 @@
 
 namespace zincdyke {
 
-/// The restart delays of one service's replicas. It sets no timer: times are handed in.
+/// Computes restart delays for the replicas of one service. A replica that ran long enough is restarted
+/// without delay; the delay doubles with each consecutive short run, up to a maximum. All times are passed in
+/// by the caller.
 class RestartBackoff {
   public:
-    /// The replica was placed on a machine at `now`.
+    /// Records that a replica was placed on a machine at `now`.
     void on_replica_placed(TaskIndex replica, SteadyTime now);
-    /// The replica has to run again: when it may be started, at the earliest.
+    /// Returns the earliest time at which a replica that ended may be restarted. Repeated calls return the
+    /// same time until the replica is placed again.
     [[nodiscard]] SteadyTime earliest_start(TaskIndex replica, SteadyTime now);
 
   private:
     struct Replica {
         SteadyTime placed_at{}, earliest_start{};
-        int short_runs = 0;  // one after the other
+        int consecutive_short_runs = 0;
         bool is_placed = false;
     };
     std::map<TaskIndex, Replica> replicas_;
--- a/src/jobs/task_committer.cpp
+++ b/src/jobs/task_committer.cpp
@@ -6,8 +6,9 @@
 
 namespace zincdyke {
 namespace {
-constexpr std::size_t max_pending_operations = 20'000;  // of peers' operations, more are rejected
-constexpr double demand_smoothing = 0.6;
+// Operations that other controllers forward are rejected while this many operations or more are pending.
+constexpr std::size_t max_pending_operations = 20'000;
+constexpr double demand_smoothing_factor = 0.6;
 }  // namespace
 
 TaskCommitter::TaskCommitter(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
@@ -62,23 +63,25 @@
 }
 
 bool TaskCommitter::has_pending_end(const TaskRef& task, Attempt attempt) const {
-    return unfinished_.contains({task, OperationKind::completion, attempt}) ||
-           unfinished_.contains({task, OperationKind::release, attempt});
+    return unfinished_operations_.contains({task, OperationKind::completion, attempt}) ||
+           unfinished_operations_.contains({task, OperationKind::release, attempt});
 }
 
-// What this node decided: it goes to the job's committer, or is queued here.
+// Forwards an operation of this node to the job's committer, or queues it here if this node is the committer
+// or can't reach it.
 void TaskCommitter::accept(const JobId& job, PendingOperation operation) {
     const auto term = cluster_.leader_term(operation.machine);
-    // Heartbeats repeat what they say until it is cleared: one commit for it is enough.
-    if (!term || !unfinished_.insert({{job, operation.task}, operation.kind, operation.attempt}).second) {
+    // Workers repeat a task's status in each heartbeat until it is cleared, so duplicates are dropped.
+    if (!term ||
+        !unfinished_operations_.insert({{job, operation.task}, operation.kind, operation.attempt}).second) {
         if (operation.on_result)
-            env_.after(Duration(0), [tell = std::move(operation.on_result)] { tell(false); });
+            env_.after(Duration(0), [on_result = std::move(operation.on_result)] { on_result(false); });
         return;
     }
     operation.term = *term;
     operation.accepted_at = env_.now();
-    const Job* known = state_cache_.job(job);
-    const NodeName committer = known != nullptr ? cluster_.committer_of(*known) : settings_.node;
+    const Job* job_record = state_cache_.job(job);
+    const NodeName committer = job_record != nullptr ? cluster_.committer_of(*job_record) : settings_.node;
     if (committer == settings_.node || !peers_.is_reachable(committer))
         return enqueue(job, std::move(operation));
     forwarder_.forward(committer, job, std::move(operation));
@@ -90,12 +93,12 @@
 }
 
 void TaskCommitter::on_commit_request(const NodeName& from, const wire::CommitRequest& request) {
-    const bool is_known = state_cache_.job(request.job) != nullptr;
+    const bool job_exists = state_cache_.job(request.job) != nullptr;
     for (const auto& requested : request.operations) {
-        const ForwardedRequest origin{from, requested.request_id};
+        const ForwardedRequest forwarded_request{from, requested.request_id};
         const auto kind = operation_kind(requested.event);
-        if (!is_known || !kind || pending_count_ >= max_pending_operations) {
-            responder_.add_result(origin, false);
+        if (!job_exists || !kind || pending_count_ >= max_pending_operations) {
+            responder_.add_result(forwarded_request, false);
             continue;
         }
         PendingOperation operation;
@@ -106,7 +109,7 @@
         operation.zone = requested.zone;
         operation.term = Term{requested.term};
         operation.accepted_at = env_.now();
-        operation.forwarded = origin;
+        operation.forwarded = forwarded_request;
         enqueue(request.job, std::move(operation));
     }
 }
@@ -126,13 +129,14 @@
     responder_.send_with_records(transaction, revision);
 }
 
-// Tells whoever asked. A leader's answer waits for the records that go with it.
+// Delivers an operation's result to its requester: through the responder for a forwarded operation, or
+// through the operation's callback.
 void TaskCommitter::deliver_result(const JobId& job, PendingOperation& operation, bool is_committed) {
     if (operation.forwarded) return responder_.add_result(*operation.forwarded, is_committed);
-    unfinished_.erase({{job, operation.task}, operation.kind, operation.attempt});
+    unfinished_operations_.erase({{job, operation.task}, operation.kind, operation.attempt});
     if (operation.on_result)
         env_.after(Duration(0),
-                   [tell = std::move(operation.on_result), is_committed] { tell(is_committed); });
+                   [on_result = std::move(operation.on_result), is_committed] { on_result(is_committed); });
 }
 
 void TaskCommitter::on_pages_resized(const JobId& id) { queue_.on_pages_resized(id); }
@@ -140,10 +144,11 @@
 void TaskCommitter::close_job(const JobId& id) { record_writer_.close_job(id); }
 
 double TaskCommitter::sample_write_demand() {
-    const std::uint64_t pages = executor_.counts().written_pages;
-    const std::uint64_t written = pages - std::exchange(sampled_pages_, pages);
-    const auto sample = static_cast<double>(queue_.waiting_page_count() + written);
-    write_demand_ = demand_smoothing * write_demand_ + (1 - demand_smoothing) * sample;
+    const std::uint64_t total_written_pages = executor_.counts().written_pages;
+    const std::uint64_t new_written_pages =
+        total_written_pages - std::exchange(sampled_written_pages_, total_written_pages);
+    const auto sample = static_cast<double>(queue_.queued_page_count() + new_written_pages);
+    write_demand_ = demand_smoothing_factor * write_demand_ + (1 - demand_smoothing_factor) * sample;
     return write_demand_;
 }
 
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -1,7 +1,7 @@
-/// Commits what happens to tasks: a start before its machine is commanded, an end before its user learns of
-/// it. Those of one job come together at its committer (ClusterCoordinator::committer_of), whoever leads the
-/// machines: a page of tasks that every leader wrote for itself would cost a conflict for each write that
-/// counted.
+/// Commits task starts and ends to the key-value store: a start before the worker receives the command, an
+/// end before it is visible to users. All operations of a job are routed to one controller, its committer
+/// (ClusterCoordinator::committer_of): if each shard leader wrote the job's pages itself, their commits would
+/// conflict.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -22,51 +22,55 @@
 
 namespace zincdyke {
 
-/// Takes operations over from this node and its peers, routes them to their committer and delivers results.
-/// All runs on the event loop; it must outlive the loop's timers and requests.
+/// Accepts operations from this node and its peers, routes them to their committer and delivers the results.
+/// Runs on the event-loop thread, and must outlive the timers and requests that it starts.
 class TaskCommitter : private CommitObserver {
   public:
-    /// `forwarded` and `reclaimed` count operations of this node that another committer was to commit.
+    /// Totals since the process started. `reclaimed_operations` counts forwarded operations that this node
+    /// committed itself because their committer failed.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
                       conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
     };
 
-    /// The references must outlive the committer.
+    /// Keeps all reference arguments; they must outlive the committer.
     TaskCommitter(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                   ClusterCoordinator& cluster, PeerChannel& peers);
-    /// Begins to look after what was forwarded.
+    /// Starts the periodic check for failed committers of forwarded operations.
     void start();
 
-    /// Commits a start, on the conditions that the job is not cancelled, that this node still leads the
+    /// Commits a task start, on the conditions that the job is not cancelled, that this node still leads the
     /// machine's shard and that the team has quota. `on_result` is called once, from the event loop.
     void commit_start(const TaskRef& task, const MachineId& machine, const std::string& zone,
                       StartCallback on_result);
-    /// The attempt ended well, as its worker reported.
+    /// Commits that a task is done, after its worker reported the attempt as successful.
     void commit_completion(const TaskRef& task, Attempt attempt, const MachineId& machine);
-    /// The attempt is over, or surely never began; the reason is for the log.
+    /// Commits that an attempt ended without completing its task, or was never started. The task becomes
+    /// pending again. The reason is only logged.
     void commit_release(const TaskRef& task, Attempt attempt, const MachineId& machine, ReleaseReason reason);
-    /// Whether an end of this attempt waits to be committed: it must not be ordered to run again meanwhile.
+    /// Returns whether a completion or release of this attempt is waiting to be committed. The worker must
+    /// not be commanded to run the attempt in the meantime.
     [[nodiscard]] bool has_pending_end(const TaskRef& task, Attempt attempt) const;
 
-    /// A leader forwards operations to this node.
+    /// Handles operations that another shard leader forwarded to this node.
     void on_commit_request(const NodeName& from, const wire::CommitRequest& request);
-    /// A committer answers what this node forwarded.
+    /// Handles a committer's response to operations that this node forwarded.
     void on_commit_response(const wire::CommitResponse& response);
-    /// A job's pages became smaller: what waits is sorted into them.
+    /// Assigns a job's queued operations to its new, smaller pages.
     void on_pages_resized(const JobId& id);
 
-    /// Turns a job that is over into its final record.
+    /// Replaces the record of a finished job by its final record.
     void close_job(const JobId& id);
 
-    /// Operations that wait at this node or are in a transaction of it.
+    /// Returns the number of operations that are queued at this node or part of a transaction in flight.
     [[nodiscard]] std::size_t queue_length() const { return pending_count_; }
-    /// How much this node has to commit, smoothed; to be called once for each heartbeat to the peers.
+    /// Returns the smoothed number of pages that this node has to write per peer heartbeat. Call it once for
+    /// each heartbeat.
     [[nodiscard]] double sample_write_demand();
     [[nodiscard]] Counts counts() const;
 
   private:
-    // What a heartbeat may repeat while it is not finished.
+    // Identifies an unfinished operation of this node, so that repeated heartbeats don't submit it twice.
     struct UnfinishedKey {
         TaskRef task;
         OperationKind kind = OperationKind::start;
@@ -89,9 +93,9 @@
     JobRecordWriter record_writer_;
     CommitQueue queue_;
     CommitExecutor executor_;
-    std::set<UnfinishedKey> unfinished_;  // of this node's own operations
+    std::set<UnfinishedKey> unfinished_operations_;  // without operations that peers forwarded
     std::size_t pending_count_ = 0;
-    std::uint64_t sampled_pages_ = 0;
+    std::uint64_t sampled_written_pages_ = 0;
     double write_demand_ = 0;
 };
 
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -8,9 +8,9 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration retry_delay = std::chrono::milliseconds(150);
-// A live holder keeps the lock for so long: two controllers that can't reach each other would take it from
-// one another before either had read the state and committed anything (TeamLock.TwoThatCannotReachEachOther).
+constexpr Duration reread_delay = std::chrono::milliseconds(150);
+// A live holder keeps a team lock at least this long. Otherwise, two controllers that can't reach each other
+// would take the lock from each other before either could commit a start.
 constexpr Duration min_hold_time = std::chrono::seconds(1);
 }  // namespace
 
@@ -23,43 +23,44 @@
       self_(std::move(self)),
       on_ready_(std::move(on_ready)) {}
 
-std::optional<Revision> TeamLocks::token(const TeamName& team) {
+std::optional<Revision> TeamLocks::fencing_token(const TeamName& team) {
     Lock& lock = locks_[team];
     if (lock.state != LockState::held) return std::nullopt;
-    // A newer version of the record is another controller's, or was written by a late request of our own.
-    if (state_cache_.version(keys::team_lock(team)) > lock.token) {
+    // A newer version of the lock record was written by another controller, or by a delayed request of this
+    // process.
+    if (state_cache_.version(keys::team_lock(team)) > lock.fencing_token) {
         lock.state = LockState::not_held;
         return std::nullopt;
     }
-    // A cache that was reloaded from a list may lack what this process committed while the list was read.
-    if (lock.generation != state_cache_.generation()) {
-        lock.generation = state_cache_.generation();
-        lock.complete_from = std::max(lock.token, lock.last_commit);
+    // A state cache that was reloaded may lack commits that this process made during the reload.
+    if (lock.cache_generation != state_cache_.generation()) {
+        lock.cache_generation = state_cache_.generation();
+        lock.required_revision = std::max(lock.fencing_token, lock.last_commit);
     }
-    if (state_cache_.applied_revision < lock.complete_from) return std::nullopt;
-    return lock.token;
+    if (state_cache_.applied_revision < lock.required_revision) return std::nullopt;
+    return lock.fencing_token;
 }
 
 void TeamLocks::acquire(const TeamName& team) {
     Lock& lock = locks_[team];
     if (lock.state == LockState::acquiring || lock.state == LockState::catching_up) return;
-    const bool is_ours =
-        lock.state == LockState::held && state_cache_.version(keys::team_lock(team)) <= lock.token;
-    if (is_ours) {
+    const bool is_still_held =
+        lock.state == LockState::held && state_cache_.version(keys::team_lock(team)) <= lock.fencing_token;
+    if (is_still_held) {
         lock.state = LockState::catching_up;
         return catch_up(team);
     }
-    if (is_left_to_other(team, lock)) return;
+    if (must_wait_for_other_holder(team, lock)) return;
     lock.state = LockState::acquiring;
     write_record(team);
 }
 
-bool TeamLocks::is_left_to_other(const TeamName& team, Lock& lock) const {
+bool TeamLocks::must_wait_for_other_holder(const TeamName& team, Lock& lock) const {
     const NodeName& holder = state_cache_.team_lock_holder(team);
     if (holder.empty() || holder == self_ || !cluster_.is_live(holder)) return false;
     const Revision version = state_cache_.version(keys::team_lock(team));
-    if (lock.other.version != version) lock.other = {version, env_.now()};
-    return env_.now() - lock.other.first_seen < min_hold_time;
+    if (lock.other_holder.version != version) lock.other_holder = {version, env_.now()};
+    return env_.now() - lock.other_holder.first_seen_at < min_hold_time;
 }
 
 void TeamLocks::write_record(const TeamName& team) {
@@ -71,17 +72,18 @@
         if (result.outcome == Outcome::ok) {
             Lock& lock = locks_[team];
             lock.state = LockState::catching_up;
-            lock.token = lock.last_commit = lock.complete_from = result.revision;
+            lock.fencing_token = lock.last_commit = lock.required_revision = result.revision;
             log::info("event=team_lock_acquired team={} token={}", team.value(), result.revision.value());
             state_cache_.apply({key, records::encode_team_lock_holder(self_), result.revision});
             return catch_up(team);
         }
-        env_.after(result.outcome == Outcome::conflict ? Duration(0) : retry_delay,
+        env_.after(result.outcome == Outcome::conflict ? Duration(0) : reread_delay,
                    [this, team] { read_record(team); });
     });
 }
 
-// The record's present version: another controller has written it, or a request of ours that had no answer.
+// Reads a lock record after a failed write. Its version has changed if another controller wrote the record,
+// or if the write succeeded and only its response was lost.
 void TeamLocks::read_record(const TeamName& team) {
     const std::string key = keys::team_lock(team);
     store_.get(key, RequestPriority::report, [this, team, key](const GetResult& result) {
@@ -98,17 +100,17 @@
     });
 }
 
-void TeamLocks::on_committed(const TeamName& team, Revision revision) {
+void TeamLocks::on_starts_committed(const TeamName& team, Revision revision) {
     Lock& lock = locks_[team];
     lock.last_commit = std::max(lock.last_commit, revision);
-    // The cache was reloaded while the commit was under way, and may lack the commit's job.
-    if (lock.generation != state_cache_.generation())
-        lock.complete_from = std::max(lock.complete_from, revision);
+    // If the cache was reloaded during the commit, it may lack the commit's job.
+    if (lock.cache_generation != state_cache_.generation())
+        lock.required_revision = std::max(lock.required_revision, revision);
 }
 
 void TeamLocks::invalidate(const TeamName& team) {
     Lock& lock = locks_[team];
-    // While it catches up, the read that is under way ends the acquisition without a token.
+    // If catch_up() is running, its read ends the acquisition and sets the state to `not_held`.
     lock.state = lock.state == LockState::held || lock.state == LockState::not_held ? LockState::not_held
                                                                                     : LockState::acquiring;
 }
--- a/src/jobs/team_locks.h
+++ b/src/jobs/team_locks.h
@@ -1,7 +1,7 @@
-/// Which controller commits the starts of a limited team. The lock is a record of the key-value store, and
-/// its version a fencing token: the commit of every start of the team names it as a condition, and only
-/// acquiring the lock writes it. Its holder therefore knows all starts of the team: those before it acquired
-/// the lock by reading, those since as its own.
+/// Team locks, which make one controller at a time the committer of all task starts of a team with a quota
+/// limit. A lock is a record of the key-value store. Its version is the fencing token: every commit of such a
+/// start has it as a condition, and only acquiring the lock changes it. The holder therefore knows all starts
+/// of the team: earlier ones from the state that it read afterwards, later ones as its own.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,47 +14,51 @@
 
 namespace zincdyke {
 
-/// The team locks as this process holds them. Must outlive the event loop's timers and requests.
+/// Acquires team locks and tracks which of them this process holds. Must outlive the timers and store
+/// requests that it starts.
 class TeamLocks {
   public:
-    /// Told, from the event loop, that the state cache has caught up after the lock was acquired or asked
-    /// for: token() may have an answer now.
+    /// Called on the event-loop thread when the state cache is up to date after acquire(), so that
+    /// fencing_token() may return a token.
     using ReadyCallback = std::function<void(const TeamName& team)>;
 
-    /// The references must outlive the locks. `self` is this node, as the records name it.
+    /// Keeps all reference arguments; they must outlive this object. `self` is the name of this node.
     TeamLocks(Env& env, StoreClient& store, StateCache& state_cache, ClusterCoordinator& cluster,
               NodeName self, ReadyCallback on_ready);
-    /// The fencing token, if this process holds the lock and the state cache shows every task of the team
-    /// that may be on a machine; nothing otherwise.
-    [[nodiscard]] std::optional<Revision> token(const TeamName& team);
-    /// Tries to acquire the lock; to be called again while there are starts to commit.
+    /// Returns the fencing token of a team lock, or nothing unless this process holds the lock and the state
+    /// cache contains every task of the team that may be placed on a machine.
+    [[nodiscard]] std::optional<Revision> fencing_token(const TeamName& team);
+    /// Starts an attempt to acquire a team lock. Failed attempts are not retried: callers repeat the call
+    /// while they have starts to commit.
     void acquire(const TeamName& team);
-    /// A start was committed under the token, and its page is in the state cache.
-    void on_committed(const TeamName& team, Revision revision);
-    /// A commit under the token had no answer: it may be carried out at any time until the lock is acquired
-    /// anew.
+    /// Records that starts of the team were committed with the fencing token. Call it after the committed
+    /// pages were applied to the state cache.
+    void on_starts_committed(const TeamName& team, Revision revision);
+    /// Gives up a team lock after a commit with its fencing token had an unknown outcome: the store may still
+    /// execute that commit until the lock is acquired again with a new token.
     void invalidate(const TeamName& team);
 
   private:
     enum class LockState : std::uint8_t {
         not_held,
-        acquiring,    // the record is being written, or read after that failed
-        catching_up,  // ours; the state cache is being read up to the present
+        acquiring,    // the lock record is being written, or read again after a failed write
+        catching_up,  // the lock is acquired, and the state cache is being brought up to date
         held
     };
     struct OtherHolder {
-        Revision version;  // of the record as another controller wrote it
-        SteadyTime first_seen{};
+        Revision version;  // version of the lock record that the other controller wrote
+        SteadyTime first_seen_at{};
     };
     struct Lock {
         LockState state = LockState::not_held;
-        Revision token;                // of the record as this process wrote it
-        Revision last_commit;          // newest start under the token
-        Revision complete_from;        // the cache shows all of this team's tasks once read up to here
-        std::uint64_t generation = 0;  // of the state cache, when `complete_from` was last judged
-        OtherHolder other;
+        Revision fencing_token;  // version of the lock record that this process wrote
+        Revision last_commit;    // revision of the last commit with the fencing token
+        // The revision that the state cache must have reached to contain all placed tasks of the team.
+        Revision required_revision;
+        std::uint64_t cache_generation = 0;  // generation of the state cache for `required_revision`
+        OtherHolder other_holder;
     };
-    [[nodiscard]] bool is_left_to_other(const TeamName& team, Lock& lock) const;
+    [[nodiscard]] bool must_wait_for_other_holder(const TeamName& team, Lock& lock) const;
     void write_record(const TeamName& team);
     void read_record(const TeamName& team);
     void catch_up(const TeamName& team);
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -1,4 +1,4 @@
-/// Builds one transaction out of starts and ends of tasks.
+/// Builds transactions that commit task starts and ends.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,102 +15,115 @@
 
 namespace zincdyke {
 
-/// The lock under which a limited team's starts are committed.
+/// A team lock with its fencing token, which is a condition of every commit of the team's task starts.
 struct TeamLockToken {
     TeamName team;
-    Revision token;
+    Revision fencing_token;
 };
 
-/// What a transaction is judged by, next to the records.
+/// The inputs for building a transaction in addition to the cached records and the settings.
 struct BuildContext {
     SteadyTime now{};
-    std::size_t max_writes = 0;         ///< as many as the write budget allows now; a page may go over it
-    bool store_rejected_value = false;  ///< the store's value limit is known to be the strictest one
-    std::optional<TeamLockToken> lock;  ///< where the transaction holds starts of a limited team
-    /// The term under which this node leads a shard; nothing where it doesn't.
+    /// The number of writes that the write budget allows now; the last page may exceed it.
+    std::size_t max_writes = 0;
+    /// Whether the store has rejected a value for its size, so that the strictest value limit applies.
+    bool store_rejected_value = false;
+    /// The team lock; set if the transaction contains starts of a team with a quota limit.
+    std::optional<TeamLockToken> lock;
+    /// Returns the term in which this node leads a shard, or nothing if it does not lead the shard.
     std::function<std::optional<Term>(std::uint32_t shard)> own_leader_term;
 };
 
-/// Operations on one page.
+/// A page and the operations on its tasks.
 struct PageOperations {
     PageKey page;
     std::vector<PendingOperation> operations;
 };
 
-/// The operation is over without a write: its task is in the state that it asks for already (`is_committed`),
-/// or it may not be carried out.
+/// Reports an operation that finished without a write: either its task is already in the requested state
+/// (`is_committed`), or the operation was rejected.
 struct SettledOperation {
     JobId job;
     PendingOperation operation;
     bool is_committed = false;
 };
-/// A start was given up, since its page's record would be too large and can't be made smaller.
+/// Reports a start that was rejected because its page's record would exceed the store's value limit and the
+/// page can't be resized.
 struct PageFull {
     PageKey page;
 };
-/// The job's pages have to become smaller before the operations left over can be carried out.
+/// Reports that a job needs smaller pages before its deferred operations can be committed.
 struct PageResizeNeeded {
     JobId job;
 };
-/// What the caller has to act on, in this order, before it sends the transaction.
+/// An event that the caller must handle before it sends the transaction.
 using BuildNotice = std::variant<SettledOperation, PageFull, PageResizeNeeded>;
 
-/// The result of a build.
+/// The result of TransactionBuilder: a transaction, the operations in it and the operations left out.
 struct BuiltTransaction {
     Transaction transaction;
-    std::vector<PageOperations> operations;  ///< that it carries out; empty: there is nothing to send
-    std::vector<PageOperations> deferred_operations;  ///< to be carried out by a later one
+    /// The operations in the transaction. If empty, there is nothing to send.
+    std::vector<PageOperations> operations;
+    /// Operations that do not fit into this transaction and are left for a later one.
+    std::vector<PageOperations> deferred_operations;
+    /// Events for the caller, in the order in which they must be handled.
     std::vector<BuildNotice> notices;
-    bool has_ends = false;  ///< ends free capacity and go before other decisions
+    /// Whether the transaction contains task ends. It is then sent with higher priority, since ends free
+    /// capacity.
+    bool has_ends = false;
 };
 
-/// Takes pages one by one as long as there is room, and judges their operations. It sends nothing and sets no
-/// timer; the records and settings that it refers to must not change before finish().
+/// Builds one transaction page by page, within the limits of the store, and checks whether each operation is
+/// allowed. It has no side effects; the state cache and the settings must not change before finish() returns.
 class TransactionBuilder {
   public:
+    /// Keeps both references; they must outlive the builder.
     TransactionBuilder(const StateCache& state_cache, const Settings& settings, BuildContext context);
-    /// Whether no operation is carried out yet.
+    /// Returns whether the transaction contains no operation yet.
     [[nodiscard]] bool is_empty() const { return built_.operations.empty(); }
-    /// Whether one more page of the job finds room, with the job's end or its new zone.
+    /// Returns whether another page of the job fits into the transaction, including the writes and conditions
+    /// for ending the job or assigning its zone.
     [[nodiscard]] bool can_add_page_of(const JobId& job) const;
-    /// Adds what may be done of the operations, in their order; each page once.
+    /// Applies operations to a page in order and adds the page to the transaction. Operations that are not
+    /// allowed are reported as notices, and operations that do not fit are deferred. Call it at most once for
+    /// each page.
     void add_page(const PageKey& page, std::vector<PendingOperation> operations);
-    /// Ends the build.
+    /// Completes the transaction and returns it.
     [[nodiscard]] BuiltTransaction finish() &&;
 
   private:
-    // What the operations chosen so far commit the transaction to.
-    struct Commitments {
-        QuotaUsage usage;                     // of the lock's team, with these starts and ends
-        std::map<std::uint32_t, Term> terms;  // of the shards whose leaders decided them
-        std::map<JobId, std::string> zones;   // of one-zone jobs with starts among them
+    // The combined effects of the operations in the transaction, which constrain further operations.
+    struct Effects {
+        QuotaUsage quota_usage;                        // usage of the locked team after the operations
+        std::map<std::uint32_t, Term> terms_by_shard;  // terms in which the operations were decided
+        std::map<JobId, std::string> zones_by_job;     // zones of one-zone jobs with starts
     };
     struct AppliedPage {
-        std::vector<TaskState> tasks;  // after the operations
-        std::vector<PendingOperation> applied, postponed;
+        std::vector<TaskState> tasks;  // the page's tasks after the applied operations
+        std::vector<PendingOperation> applied, deferred;
     };
-    [[nodiscard]] AppliedPage apply_all(const PageKey& page, const Job* job,
-                                        std::vector<PendingOperation> operations);
-    [[nodiscard]] bool may_apply(const Job& job, const PendingOperation& operation, std::uint32_t shard,
-                                 Term term) const;
+    [[nodiscard]] AppliedPage apply_operations(const PageKey& page, const Job* job,
+                                               std::vector<PendingOperation> operations);
+    [[nodiscard]] bool is_compatible(const Job& job, const PendingOperation& operation, std::uint32_t shard,
+                                     Term term) const;
     [[nodiscard]] std::optional<Term> valid_term(const PendingOperation& operation,
                                                  std::uint32_t shard) const;
     [[nodiscard]] bool is_zone_allowed(const Job& job, const std::string& zone) const;
     [[nodiscard]] std::size_t condition_count() const;
-    [[nodiscard]] bool fits_record(std::size_t tasks, std::size_t bytes) const;
-    void settle(const PageKey& page, PendingOperation operation);
-    void postpone_or_give_up(const PageKey& page, const Job& job, AppliedPage overflowing);
+    [[nodiscard]] bool fits_value_limit(std::size_t task_count, std::size_t record_bytes) const;
+    void settle_without_write(const PageKey& page, PendingOperation operation);
+    void defer_or_reject(const PageKey& page, const Job& job, AppliedPage oversized);
     void add_writes(const PageKey& page, const Job& job, const std::vector<TaskState>& tasks, Json record);
-    void add_zone_choice(const Job& job);
+    void add_zone_assignment(const Job& job);
     void add_condition(const Condition& condition);
 
     const StateCache& state_cache_;
     const Settings& settings_;
     const BuildContext context_;
     BuiltTransaction built_;
-    Commitments commitments_;
-    std::set<JobId> jobs_given_zones_;  // their records name the chosen zone
-    std::size_t record_bytes_ = 0;
+    Effects effects_;
+    std::set<JobId> zone_assigned_jobs_;  // jobs whose record in the transaction assigns a zone
+    std::size_t total_record_bytes_ = 0;  // size of all page records in the transaction
 };
 
 }  // namespace zincdyke
