--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -144,7 +144,8 @@
         for (auto& operation : operations) {
             const bool is_term_over =
                 failed_keys.contains(keys::shard(state_cache_.shard_of(operation.machine)));
-            // The peer no longer leads the shard; the new leader decides about the task again.
+            // An operation is not retried if the leader that forwarded it no longer leads the shard: the new
+            // leader decides about the task again.
             if (operation.forwarded && is_term_over)
                 observer_.on_operation_finished(page.job, operation, false);
             else
@@ -152,8 +153,8 @@
         }
 }
 
-// Reads the records whose cached versions may be outdated, and schedules the queue's next transaction after
-// that.
+// Reads the records whose cached versions may be outdated from the store, and then schedules the queue's next
+// transaction.
 void CommitExecutor::reread_records(const CommitQueueKey& key, const std::vector<std::string>& record_keys) {
     queue_.begin_transaction(key, {});
     auto remaining_reads = std::make_shared<std::size_t>(record_keys.size());
--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -36,7 +36,7 @@
 /// failed transactions. The executor must outlive the timers and store requests that it starts.
 class CommitExecutor {
   public:
-    /// Totals since the process started.
+    /// Totals of sent transactions and their results since the process started.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
                       conflicts = 0;
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -8,7 +8,8 @@
 namespace {
 constexpr Duration outbox_delay = std::chrono::milliseconds(5);
 constexpr Duration reclaim_interval = std::chrono::milliseconds(250);
-// A reachable committer responds within these timeouts unless a message was lost.
+// How long a forwarded start or end may wait for the committer's response before it is reclaimed. A reachable
+// committer responds within these timeouts unless a message is lost.
 constexpr Duration start_answer_timeout = start_commit_timeout + std::chrono::seconds(1);
 constexpr Duration end_answer_timeout = max_completion_batching_delay + std::chrono::seconds(6);
 constexpr std::size_t max_operations_per_message = 256;
--- a/src/jobs/commit_forwarder.h
+++ b/src/jobs/commit_forwarder.h
@@ -26,7 +26,7 @@
         PendingOperation operation;
         bool is_committed = false;
     };
-    /// Totals since the process started.
+    /// Totals of forwarded and reclaimed operations since the process started.
     struct Counts {
         std::uint64_t forwarded_operations = 0, reclaimed_operations = 0;
     };
@@ -34,7 +34,7 @@
     /// Keeps all reference arguments; they must outlive the forwarder.
     CommitForwarder(Env& env, const StateCache& state_cache, PeerChannel& peers,
                     ReclaimCallback on_reclaimed);
-    /// Starts the periodic check for failed committers.
+    /// Starts the periodic check that reclaims operations from failed committers.
     void start();
     /// Queues an operation for `committer`. Operations for the same committer and job are sent in one message
     /// after a delay of a few milliseconds.
--- a/src/jobs/commit_queue.cpp
+++ b/src/jobs/commit_queue.cpp
@@ -10,11 +10,12 @@
 namespace {
 constexpr Duration release_batching_delay = std::chrono::milliseconds(40);
 constexpr Duration min_completion_batching_delay = std::chrono::milliseconds(250);
-// A team near its quota limit needs the quota of completed tasks for its next starts.
+// Teams near their quota limit have a shorter maximum delay, since they need the quota of completed tasks for
+// their next starts.
 constexpr Duration max_completion_batching_delay_near_quota = std::chrono::seconds(2);
 constexpr double near_quota_share = 0.9;
-// The completion delay grows linearly between these shares of the write budget, which reduces the number of
-// writes per completion.
+// The batching delay of task completions grows linearly while the used share of the write budget is between
+// these values. A longer delay reduces the number of writes per completion.
 constexpr double low_write_load = 0.5, high_write_load = 0.9;
 constexpr Duration unreachable_store_retry_interval = std::chrono::milliseconds(300);
 constexpr Duration min_write_budget_wait = std::chrono::milliseconds(5);
--- a/src/jobs/commit_queue.h
+++ b/src/jobs/commit_queue.h
@@ -58,13 +58,14 @@
     /// Marks the queue and these pages as having a transaction in flight: until end_transaction(), the queue
     /// is not processed and no transaction of any queue includes the pages.
     void begin_transaction(const CommitQueueKey& key, const std::vector<PageOperations>& pages);
-    /// Reverts begin_transaction() after the store has responded or the request has failed.
+    /// Marks the queue and these pages as no longer in flight, after the store has responded or the request
+    /// has failed.
     void end_transaction(const CommitQueueKey& key, const std::vector<PageOperations>& pages);
     /// Schedules the operations that are left in the queue after a transaction, or removes the queue if it is
     /// empty.
     void resume(const CommitQueueKey& key);
 
-    /// The number of pages with queued operations; a page in two queues counts twice.
+    /// Returns the number of pages with queued operations; a page in two queues counts twice.
     [[nodiscard]] std::size_t queued_page_count() const;
 
   private:
@@ -91,7 +92,7 @@
     const QueueDueCallback on_queue_due_;
     std::map<CommitQueueKey, Queue> queues_;
     std::set<PageKey> pages_in_flight_;
-    Env::TimerId timer_ = 0;  // 0 if no timer is set
+    Env::TimerId timer_ = 0;  // the pending timer; 0 if none is set
     SteadyTime timer_expiry_{};
 };
 
--- a/src/jobs/committed_records.cpp
+++ b/src/jobs/committed_records.cpp
@@ -42,7 +42,7 @@
     return records;
 }
 
-// Applies job records before pages, for the same reason as apply_committed().
+// Applies job records before pages, since pages whose job is not in the state cache are skipped.
 void apply_stored_records(StateCache& state_cache, const std::vector<wire::StoredRecord>& records) {
     for (const auto& record : records)
         if (is_job(record.key)) apply_stored_record(state_cache, record);
--- a/src/jobs/committed_records.h
+++ b/src/jobs/committed_records.h
@@ -1,5 +1,6 @@
 /// Applies the records of a commit to the state cache, on this node and on the leaders that forwarded the
-/// operations. Without this, they would decide on outdated records until the watch delivers the new ones.
+/// operations. Without this, these nodes would decide on outdated records until the watch delivers the new
+/// ones.
 #pragma once
 #include <vector>
 
--- a/src/jobs/final_state_cache.h
+++ b/src/jobs/final_state_cache.h
@@ -9,7 +9,7 @@
 
 namespace zincdyke {
 
-/// The immutable final state of a job.
+/// The final state of a job, which never changes.
 struct FinalState {
     wire::Phase phase = wire::Phase::done;  ///< either done or cancelled
     std::int64_t task_count = 0;
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -10,8 +10,8 @@
 
 namespace zincdyke {
 
-/// Writes job records, at most one write of each kind per job at a time. Failed writes are not retried here:
-/// the callers call again while the write is still needed. The writer must outlive the timers and store
+/// Writes job records, at most one write of each kind per job at a time. Failed writes are not retried: the
+/// callers repeat the call while the write is still needed. The writer must outlive the timers and store
 /// requests that it starts.
 class JobRecordWriter {
   public:
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -58,7 +58,7 @@
     if (target.action == JobAction::get)
         if (const FinalState* state = final_states_.find(target.id); state != nullptr)
             return reply(job_response(target.id, *state));
-    // Requests that can't be served now are rejected immediately with Retry-After, not held open.
+    // Requests that can't be served now are rejected immediately with status 503 and not held open.
     if (!cluster_.is_synced() || !store_.reachable() || open_requests_ >= max_open_requests)
         return reply(try_later_response());
     ++open_requests_;
--- a/src/jobs/operation_rules.cpp
+++ b/src/jobs/operation_rules.cpp
@@ -7,8 +7,8 @@
 namespace zincdyke {
 namespace {
 
-// Applies a completion or release to its task. Completions of service replicas are rejected; leaders of an
-// earlier version may still forward them.
+// Applies a completion or release to its task. Completions of service replicas are rejected: leaders
+// that run an earlier version may still forward them.
 ApplyResult apply_end(const Job& job, const PendingOperation& operation, TaskState& task,
                       QuotaUsage& team_usage) {
     const bool is_completion = operation.kind == OperationKind::completion;
--- a/src/jobs/placement_backoff.cpp
+++ b/src/jobs/placement_backoff.cpp
@@ -5,8 +5,8 @@
 
 namespace zincdyke {
 namespace {
-// The minimum interval between rounds for one kind of jobs. The result of one round shows whether there is
-// capacity for the others.
+// The minimum interval between placement rounds for jobs of one kind. The result of one round shows whether
+// there is capacity for the other jobs of the kind.
 constexpr Duration min_round_interval = std::chrono::milliseconds(30);
 }  // namespace
 
@@ -25,7 +25,7 @@
 
 void PlacementBackoff::on_placement_failed(const Job& job, SteadyTime now, SteadyTime retry_at) {
     Failure& failure = failures_[JobKind::of(job)];
-    // The smallest need that failed is kept until its delay has expired.
+    // The smallest resource need that failed is kept until its delay has expired.
     if (failure.retry_at <= now || failure.need.covers(job.spec.need)) failure.need = job.spec.need;
     failure.machine_types = job.spec.types;
     failure.retry_at = retry_at;
--- a/src/jobs/placement_backoff.h
+++ b/src/jobs/placement_backoff.h
@@ -40,13 +40,13 @@
     /// Ends the delay of all kinds of jobs whose failed tasks fit into the capacity that was freed on a
     /// machine of this type. Returns these kinds.
     std::set<JobKind> on_capacity_freed(const std::string& machine_type, const Resources& freed);
-    /// Removes entries that no longer delay a round.
+    /// Removes expired entries, which no longer delay placement rounds.
     void remove_expired(SteadyTime now);
 
   private:
     struct Failure {
         Resources need;
-        std::optional<std::vector<std::string>> machine_types;  // empty if all types are allowed
+        std::optional<std::vector<std::string>> machine_types;  // nothing if all types are allowed
         SteadyTime retry_at{};
     };
     std::map<JobKind, Failure> failures_;
--- a/src/jobs/placement_gatherer.cpp
+++ b/src/jobs/placement_gatherer.cpp
@@ -5,7 +5,7 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // measured from a round's first response
+constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // starts at a round's first response
 constexpr Duration cleanup_interval = std::chrono::milliseconds(100);
 // Decided rounds are kept this long to recognize late responses; after that, a late response would start a
 // new round.
@@ -27,7 +27,7 @@
 void PlacementGatherer::on_placement_response(const wire::PlacementResponse& response) {
     Round& round = rounds_[response.round];
     if (round.is_decided) {
-        // The round is already decided: an empty decision makes the scorer release its reserved capacity.
+        // After the round's decision, an empty decision makes a late scorer release its reserved capacity.
         peers_.send(response.scorer, wire::PlacementDecision{response.round, response.job, {}});
         return;
     }
--- a/src/jobs/placement_gatherer.h
+++ b/src/jobs/placement_gatherer.h
@@ -19,16 +19,16 @@
   public:
     /// Keeps all reference arguments; they must outlive the gatherer.
     PlacementGatherer(Env& env, const StateCache& state_cache, PeerChannel& peers);
-    /// Starts the periodic removal of old rounds.
+    /// Starts the periodic removal of old placement rounds.
     void start();
     /// Handles a scorer's response. A response to a round that is already decided is rejected by an empty
     /// decision, so that the scorer releases the reserved capacity.
     void on_placement_response(const wire::PlacementResponse& response);
 
-    /// Totals since the process started.
+    /// Totals of decided rounds since the process started.
     struct Counts {
         std::uint64_t rounds_decided = 0;
-        /// Time from the first response to the decision, summed over all rounds.
+        /// Sum of the times from a round's first response to its decision.
         std::uint64_t total_decision_ms = 0;
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -12,13 +12,14 @@
 namespace zincdyke {
 namespace {
 constexpr Duration periodic_interval = std::chrono::milliseconds(100);
-// Every job change triggers a scan, which visits all jobs: the interval between scans grows with the number
-// of jobs.
+// Every change of a job schedules a scan that visits all jobs, so the interval between scans grows with the
+// number of jobs.
 constexpr Duration min_scan_interval = std::chrono::milliseconds(20);
 constexpr std::size_t max_scan_interval_ms = 250, jobs_per_scan_interval_ms = 10;
 constexpr Duration min_scan_delay = std::chrono::milliseconds(5);
 constexpr int max_rounds_per_scan = 8;
-// Limits the tasks of a job in one placement request; a gang's tasks are always requested together.
+// The maximum number of a job's tasks in one placement request, except that a gang's tasks are always
+// requested together.
 constexpr std::size_t max_tasks_per_request = 64;
 constexpr Duration job_round_interval = std::chrono::milliseconds(50);
 // How long a job waits after a round that found no capacity for some of its tasks.
@@ -185,7 +186,8 @@
     const Json record = state_cache_.encode_job(moved_job);
     store_.commit({{{key, job.version}}, {{key, record, std::nullopt}}}, RequestPriority::decision,
                   [this, key, record, moved_job](const CommitResult& result) {
-                      if (result.outcome != Outcome::ok) return;  // the watch delivers the actual record
+                      if (result.outcome != Outcome::ok)
+                          return;  // the watch delivers the job's current record
                       log::info("event=job_relay_changed job={} to={} revision={}", moved_job.spec.id.value(),
                                 moved_job.relay.value(), result.revision.value());
                       state_cache_.apply({key, record, result.revision});
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -30,10 +30,10 @@
     void on_job_changed(const JobId& id);
     /// Schedules a new placement round for tasks that could not be placed.
     void on_placement_failure(const wire::PlacementFailure& failure);
-    /// Retries jobs that were waiting for the capacity that has been freed.
+    /// Retries jobs whose tasks may fit into capacity that has been freed.
     void on_capacity_freed(const wire::CapacityFreedNotification& notification);
 
-    /// Totals since the process started.
+    /// Totals of placement rounds and failed placements since the process started.
     struct Counts {
         std::uint64_t rounds_started = 0;
         /// Task placements that failed for lack of capacity or because of a conflict.
@@ -44,13 +44,13 @@
   private:
     // The state of placement for one job while this node is its relay.
     struct WaitingJob {
-        // Request times of tasks in a placement round; a task is removed when it is placed or the round
-        // fails.
+        // Request times of the tasks in a placement round. A task is removed when it is placed, or when its
+        // round fails or times out.
         std::map<TaskIndex, SteadyTime> requested_tasks;
         SteadyTime next_round_at{};               // earliest start of the job's next placement round
         std::optional<SteadyTime> failing_since;  // time of the first failed round since a task was placed
         std::optional<SteadyTime> relay_changed_at;
-        RestartBackoff restart_backoff;  // used only for services
+        RestartBackoff restart_backoff;  // used only for the replicas of services
     };
 
     void run_periodic_work();
@@ -69,7 +69,7 @@
     std::vector<TaskIndex> tasks_to_request(const Job& job, WaitingJob& waiting) const;
     bool needs_request(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
     // Returns whether the team's quota allows `requested_count` more tasks of the job, and whether the task
-    // may start a new attempt: a gang may do so only after all tasks of its last attempt have ended.
+    // may start now: after a failed attempt of a gang, only once all tasks of that attempt have ended.
     bool is_request_allowed(const Job& job, const TaskState& state, TaskIndex requested_count) const;
     void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
 
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -23,11 +23,11 @@
 namespace zincdyke {
 
 /// Accepts operations from this node and its peers, routes them to their committer and delivers the results.
-/// Runs on the event-loop thread, and must outlive the timers and requests that it starts.
+/// Runs on the event-loop thread. The committer must outlive the timers and requests that it starts.
 class TaskCommitter : private CommitObserver {
   public:
-    /// Totals since the process started. `reclaimed_operations` counts forwarded operations that this node
-    /// committed itself because their committer failed.
+    /// Totals of transactions and operations since the process started. `reclaimed_operations` counts
+    /// forwarded operations that this node committed itself because their committer failed.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
                       conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
@@ -93,7 +93,7 @@
     JobRecordWriter record_writer_;
     CommitQueue queue_;
     CommitExecutor executor_;
-    std::set<UnfinishedKey> unfinished_operations_;  // without operations that peers forwarded
+    std::set<UnfinishedKey> unfinished_operations_;  // operations decided by this node
     std::size_t pending_count_ = 0;
     std::uint64_t sampled_written_pages_ = 0;
     double write_demand_ = 0;
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -103,14 +103,14 @@
 void TeamLocks::on_starts_committed(const TeamName& team, Revision revision) {
     Lock& lock = locks_[team];
     lock.last_commit = std::max(lock.last_commit, revision);
-    // If the cache was reloaded during the commit, it may lack the commit's job.
+    // If the state cache was reloaded during the commit, it may lack the job of the committed start.
     if (lock.cache_generation != state_cache_.generation())
         lock.required_revision = std::max(lock.required_revision, revision);
 }
 
 void TeamLocks::invalidate(const TeamName& team) {
     Lock& lock = locks_[team];
-    // If catch_up() is running, its read ends the acquisition and sets the state to `not_held`.
+    // While catch_up() is running, the state `acquiring` makes it end with `not_held` instead of `held`.
     lock.state = lock.state == LockState::held || lock.state == LockState::not_held ? LockState::not_held
                                                                                     : LockState::acquiring;
 }
--- a/src/jobs/team_locks.h
+++ b/src/jobs/team_locks.h
@@ -18,7 +18,7 @@
 /// requests that it starts.
 class TeamLocks {
   public:
-    /// Called on the event-loop thread when the state cache is up to date after acquire(), so that
+    /// Called on the event-loop thread after acquire(), when the state cache is up to date and
     /// fencing_token() may return a token.
     using ReadyCallback = std::function<void(const TeamName& team)>;
 
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -15,8 +15,8 @@
 // store's limit of 64 KiB for a transaction.
 constexpr std::size_t max_total_record_bytes = std::size_t{48} * 1024;
 constexpr std::size_t max_frozen_pages_per_page = 2;  // frozen pages that contain tasks of one small page
-constexpr std::size_t max_writes_per_page = 3;     // a page, or the page and both records of a finished job
-constexpr std::size_t max_writes_per_job_end = 2;  // the deleted job record and the final record
+constexpr std::size_t max_writes_per_page = 3;        // a page record, and two records of a finished job
+constexpr std::size_t max_writes_per_job_end = 2;     // deletes the job record and writes the final record
 
 // Returns the maximum number of conditions that a page adds to a transaction: the versions of the job and the
 // page, and either those of the frozen pages that contain its tasks or, if the commit assigns the job's zone,
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -24,7 +24,8 @@
 /// The inputs for building a transaction in addition to the cached records and the settings.
 struct BuildContext {
     SteadyTime now{};
-    /// The number of writes that the write budget allows now; the last page may exceed it.
+    /// The number of writes that the write budget allows now. A transaction may exceed it by the writes of
+    /// its last page.
     std::size_t max_writes = 0;
     /// Whether the store has rejected a value for its size, so that the strictest value limit applies.
     bool store_rejected_value = false;
@@ -56,7 +57,7 @@
 struct PageResizeNeeded {
     JobId job;
 };
-/// An event that the caller must handle before it sends the transaction.
+/// An event during the build of a transaction, which the caller must handle before it sends the transaction.
 using BuildNotice = std::variant<SettledOperation, PageFull, PageResizeNeeded>;
 
 /// The result of TransactionBuilder: a transaction, the operations in it and the operations left out.
@@ -88,7 +89,7 @@
     /// allowed are reported as notices, and operations that do not fit are deferred. Call it at most once for
     /// each page.
     void add_page(const PageKey& page, std::vector<PendingOperation> operations);
-    /// Completes the transaction and returns it.
+    /// Adds the conditions for the shard terms, and returns the completed transaction.
     [[nodiscard]] BuiltTransaction finish() &&;
 
   private:
