--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -70,7 +70,7 @@
 ParsedKey parse(std::string_view key) {
     if (key == autoscaler_leader) return {Kind::autoscaler, {}, std::nullopt};
     if (key == machine_types) return {Kind::machine_type_list, {}, std::nullopt};
-    if (key == fleet_format_level) return {Kind::fleet_format_level, {}, std::nullopt};
+    if (key == fleet_format_level) return {Kind::fleet_format, {}, std::nullopt};
     for (const auto& [prefix, kind] : prefixes) {
         if (!key.starts_with(prefix)) continue;
         const std::string_view suffix = key.substr(prefix.size());
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -47,7 +47,7 @@
     shard,
     team_lock,
     supported_format_level,
-    fleet_format_level,
+    fleet_format,
     autoscaler,
     machine_type_list,
 };
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -115,7 +115,7 @@
             apply_page(key, update);
             break;
         case keys::Kind::supported_format_level:
-        case keys::Kind::fleet_format_level:
+        case keys::Kind::fleet_format:
             apply_format_level(key, update);
             break;
         case keys::Kind::node:
@@ -158,7 +158,7 @@
     if (!update.value) return;
     const std::optional<std::uint32_t> level = records::decode_format_level(*update.value);
     if (!level) return;
-    if (key.kind == keys::Kind::fleet_format_level)
+    if (key.kind == keys::Kind::fleet_format)
         format_levels_.raise_fleet_level(*level);
     else
         format_levels_.set_supported_level(key.node(), *level);
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -26,7 +26,7 @@
         {keys::shard(4), Kind::shard, "", 4},
         {keys::team_lock(TeamName("blue")), Kind::team_lock, "blue", {}},
         {keys::supported_format_level(NodeName("n1")), Kind::supported_format_level, "n1", {}},
-        {keys::fleet_format_level, Kind::fleet_format_level, "", {}},
+        {keys::fleet_format_level, Kind::fleet_format, "", {}},
         {keys::autoscaler_leader, Kind::autoscaler, "", {}},
         {keys::machine_types, Kind::machine_type_list, "", {}},
     };
