--- a/src/store/cancelled_jobs.h
+++ b/src/store/cancelled_jobs.h
@@ -11,7 +11,7 @@
 /// records that the reload reads.
 class CancelledJobs {
   public:
-    /// Returns false if the job was already in the set.
+    /// Adds a job to the set; returns false if the set already contained it.
     bool add(const JobId& id) { return ids_.insert(id).second; }
     void remove(const JobId& id) { ids_.erase(id); }
     [[nodiscard]] bool contains(const JobId& id) const { return ids_.contains(id); }
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -68,7 +68,7 @@
     [[nodiscard]] TeamName team() const { return TeamName(std::string(name)); }
 };
 [[nodiscard]] ParsedKey parse(std::string_view key);
-/// Deleted because the result would refer to a destroyed temporary string.
+/// Rejects a temporary string, because the result refers to the characters of the key.
 ParsedKey parse(std::string&& key) = delete;
 
 /// Returns whether the key has the prefix that controllers watch.
--- a/src/store/machine_images.h
+++ b/src/store/machine_images.h
@@ -39,7 +39,7 @@
         double size_gb = 0;
     };
     struct MachineEntry {
-        std::deque<Image> recent_images;  // most recently placed first
+        std::deque<Image> recent_images;  // ordered by placement, the most recent first
         Revision last_placed_at;
     };
     void evict_inactive_machines(Revision current);
--- a/src/store/membership_index.h
+++ b/src/store/membership_index.h
@@ -10,7 +10,7 @@
 
 /// The leadership of one shard, which is a partition of the machines.
 struct Shard {
-    NodeName leader;  ///< empty if the shard has no leader
+    NodeName leader;  ///< the shard's leader; empty if there is none
     Term term;        ///< the version of the shard's record
 };
 
@@ -26,7 +26,7 @@
     void remove_live_node(const NodeName& node) { live_nodes_.erase(node); }
     /// Sets the leadership of a shard; ignores a number that is out of range.
     void set_shard(std::uint32_t number, Shard shard);
-    /// An empty name means that the autoscaler has no leader.
+    /// Sets the autoscaler's leader; an empty name means that there is none.
     void set_autoscaler_leader(NodeName leader);
     /// Removes all live nodes and leaders. Keeps the number of shards.
     void clear();
--- a/src/store/page_layout.cpp
+++ b/src/store/page_layout.cpp
@@ -6,9 +6,9 @@
 
 namespace zincdyke {
 namespace {
-// Upper bound for the JSON entry of a placed task: index, attempt, machine and zone with punctuation.
+// Upper bound for the size of a placed task's JSON entry: index, attempt, machine and zone with punctuation.
 constexpr std::size_t max_task_entry_bytes = 40;
-// Upper bound for the rest of a page's JSON record.
+// Upper bound for the size of a page's JSON record without its task entries.
 constexpr std::size_t page_overhead_bytes = 400;
 constexpr std::size_t min_page_tasks = 8;
 constexpr std::size_t max_page_tasks = 400;
--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -31,7 +31,7 @@
   private:
     struct Entry {
         Revision version;
-        bool exists = false;  // false: the record was deleted at `version`
+        bool exists = false;  // false if the record was deleted at `version`
     };
     std::unordered_map<std::string, Entry> versions_;
 };
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -9,8 +9,8 @@
 
 namespace zincdyke::records {
 namespace {
-// Replaces the attempt of a service's task that an earlier version recorded as done, without its attempt.
-// Larger than any attempt that the task can have reached.
+// Attempt assigned to a service's task that an earlier version of the program recorded as done, which left
+// out its attempt. Larger than any attempt that the task can have reached.
 constexpr Attempt replacement_attempt = 1'000'000;
 // Value of `pages.layout` in a job's record: the pages have the size in `pages.size`.
 constexpr int small_pages_layout = 1;
@@ -73,7 +73,7 @@
     }
 }
 
-// Throws an exception if the record is malformed.
+// Decodes the tasks in a page's record. Throws an exception if the record is malformed.
 std::vector<TaskState> decode_page_record(const Json& record, bool is_service, std::size_t first,
                                           TaskIndex count) {
     std::vector<TaskState> tasks(count);
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -63,7 +63,7 @@
 
 /// The result of an ended job.
 struct FinalState {
-    bool is_done = false;         ///< false if the job was cancelled
+    bool is_done = false;         ///< whether all tasks are done; false if the job was cancelled
     std::int64_t done_tasks = 0;  ///< number of done tasks; 0 for a cancelled job
 };
 /// Encodes the record of an ended job: `s` (`done`, or `withdrawn` for a cancelled job) and `n` (number of
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -5,10 +5,10 @@
 
 namespace zincdyke {
 namespace {
-// Below 1 because the clocks of the nodes and of the store differ.
+// Part of the store's rate limits that is used. Below 1 because the clocks of the nodes and the store differ.
 constexpr double usable_share = 0.95;
-constexpr double user_read_share = 0.25;  // of the request budget
-// Not spent on commits of task starts and ends, so that submissions need not wait for these.
+constexpr double user_read_share = 0.25;  // part of the request budget reserved for users' reads
+// Writes reserved for submissions and sessions, which must not wait for commits of task starts and ends.
 constexpr double reserved_writes = 1.0;
 constexpr double write_load_window_s = 8;
 constexpr double min_rate = 1.0;
--- a/src/store/request_budget.h
+++ b/src/store/request_budget.h
@@ -44,7 +44,7 @@
 
     const Settings& settings_;
     TokenBucket requests_, user_reads_, writes_;
-    double recent_writes_ = 0;  // decays exponentially
+    double recent_writes_ = 0;  // recently taken writes, decaying exponentially
     SteadyTime recent_writes_updated_at_{};
 };
 
--- a/src/store/request_queue.h
+++ b/src/store/request_queue.h
@@ -82,7 +82,7 @@
     RequestBudget budget_;
     StoreReachability reachability_;
     std::array<std::deque<QueuedRequest>, priority_count> queues_;
-    Env::TimerId dispatch_timer_ = 0;  // 0 if no dispatch is scheduled
+    Env::TimerId dispatch_timer_ = 0;  // timer of the next dispatch; 0 if none is scheduled
     Counts counts_;
 };
 
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -249,7 +249,7 @@
     if (!tasks) return;
     if (!job_layout.has_small_pages()) return set_page(job, page, std::move(*tasks), update.version);
     job.frozen_pages[page] = Page{update.version, std::move(*tasks)};
-    // A small page that has its own record overrides the frozen page.
+    // A small page that has its own record overrides the frozen pages and keeps its tasks.
     const PageRange small_pages = job_layout.small_pages_of(page);
     for (std::uint32_t number = small_pages.first; number < small_pages.end; ++number)
         if (!versions_.exists(page_key(job, number)))
--- a/src/store/store_protocol.cpp
+++ b/src/store/store_protocol.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-// Returns 0 if the field is missing or not an unsigned number.
+// Returns the value of a numeric field; 0 if the field is missing or not an unsigned number.
 std::uint64_t number_in(const Json& body, const char* field) {
     const auto found = body.find(field);
     return found != body.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
@@ -42,7 +42,7 @@
 
 struct ParsedResponse {
     Outcome outcome;
-    Json body;  // an object; empty if the response's body is malformed
+    Json body;  // the response's JSON object; empty if the body is malformed
 };
 
 ParsedResponse parse(const HttpResponse& response) {
