--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -115,7 +115,7 @@
             apply_page(key, update);
             break;
         case keys::Kind::supported_format_level:
-        case keys::Kind::fleet_format_level:
+        case keys::Kind::fleet_format:
             apply_format_level(key, update);
             break;
         case keys::Kind::node:
@@ -158,7 +158,7 @@
     if (!update.value) return;
     const std::optional<std::uint32_t> level = records::decode_format_level(*update.value);
     if (!level) return;
-    if (key.kind == keys::Kind::fleet_format_level)
+    if (key.kind == keys::Kind::fleet_format)
         format_levels_.raise_fleet_level(*level);
     else
         format_levels_.set_supported_level(key.node(), *level);
@@ -249,7 +249,7 @@
     if (!tasks) return;
     if (!job_layout.has_small_pages()) return set_page(job, page, std::move(*tasks), update.version);
     job.frozen_pages[page] = Page{update.version, std::move(*tasks)};
-    // A small page that has its own record overrides the frozen page.
+    // A small page that has its own record overrides the frozen pages and keeps its tasks.
     const PageRange small_pages = job_layout.small_pages_of(page);
     for (std::uint32_t number = small_pages.first; number < small_pages.end; ++number)
         if (!versions_.exists(page_key(job, number)))
