--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -15,7 +15,7 @@
       write_budget_share_(settings, store, state_cache, membership_),
       state_watcher_(env, settings, store, state_cache, membership_, observer,
                      [this] { on_membership_changed(); }),
-      session_keeper_(env, settings, store, state_cache, [this] { state_watcher_.distrust(); }),
+      session_keeper_(env, settings, store, state_cache, [this] { state_watcher_.invalidate(); }),
       shard_leadership_(env, settings, store, state_cache, membership_, observer,
                         [this] { on_membership_changed(); }),
       autoscaler_election_(env, settings, store, state_cache, membership_) {}
@@ -23,7 +23,7 @@
 void ClusterCoordinator::start() {
     session_keeper_.start();
     state_watcher_.start();
-    review();
+    review_leaderships();
 }
 
 std::optional<NodeName> ClusterCoordinator::leader_of(const MachineId& machine) const {
@@ -46,14 +46,14 @@
     if (is_up_to_date()) shard_leadership_.transfer(shard, incarnation());
 }
 
-void ClusterCoordinator::review() {
-    env_.after(review_interval, [this] { review(); });
+void ClusterCoordinator::review_leaderships() {
+    env_.after(review_interval, [this] { review_leaderships(); });
     if (!is_up_to_date() || !session_keeper_.is_open()) return;
-    // A commit of an earlier process of this node, held and carried out late, may have tied our record to a
-    // lease that then expired.
-    if (!is_live(settings_.node)) return session_keeper_.register_again();
-    shard_leadership_.review(incarnation());
-    autoscaler_election_.review(session_keeper_.lease());
+    // The session record may be missing although the session is open: a delayed commit from an earlier
+    // process of this controller can attach the record to an old lease, whose expiry then deletes it.
+    if (!is_live(settings_.node)) return session_keeper_.restore_record();
+    shard_leadership_.claim_shards(incarnation());
+    autoscaler_election_.campaign_if_vacant(session_keeper_.lease_id());
 }
 
 }  // namespace zincdyke
--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view node_prefix = "z/n/";
 constexpr std::string_view shard_prefix = "z/p/";
 constexpr std::string_view team_lock_prefix = "z/q/";
-constexpr std::string_view known_format_prefix = "z/v/";
+constexpr std::string_view supported_format_level_prefix = "z/v/";
 constexpr std::array<Prefix, 8> prefixes{{
     {job_prefix, Kind::job},
     {standard_page_prefix, Kind::standard_page},
@@ -26,7 +26,7 @@
     {node_prefix, Kind::node},
     {shard_prefix, Kind::shard},
     {team_lock_prefix, Kind::team_lock},
-    {known_format_prefix, Kind::known_format},
+    {supported_format_level_prefix, Kind::supported_format_level},
 }};
 
 std::string join(std::string_view prefix, const std::string& name) { return std::string(prefix) + name; }
@@ -35,7 +35,7 @@
     return join(prefix, name) + "/" + std::to_string(number);
 }
 
-std::optional<std::uint32_t> number_in(std::string_view digits) {
+std::optional<std::uint32_t> parse_number(std::string_view digits) {
     std::uint32_t number = 0;
     const char* const end = digits.data() + digits.size();
     const auto result = std::from_chars(digits.data(), end, number);
@@ -43,11 +43,11 @@
     return number;
 }
 
-// `rest` is "JOB/NUMBER".
-ParsedKey parse_page(Kind kind, std::string_view rest) {
-    const auto slash = rest.rfind('/');
+// Parses the part of a page key after its prefix: "JOB/NUMBER".
+ParsedKey parse_page(Kind kind, std::string_view suffix) {
+    const auto slash = suffix.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return {kind, {}, std::nullopt};
-    return {kind, rest.substr(0, slash), number_in(rest.substr(slash + 1))};
+    return {kind, suffix.substr(0, slash), parse_number(suffix.substr(slash + 1))};
 }
 
 }  // namespace
@@ -63,18 +63,20 @@
 std::string node(const NodeName& name) { return join(node_prefix, name.value()); }
 std::string shard(std::uint32_t number) { return join(shard_prefix, std::to_string(number)); }
 std::string team_lock(const TeamName& name) { return join(team_lock_prefix, name.value()); }
-std::string known_format(const NodeName& name) { return join(known_format_prefix, name.value()); }
+std::string supported_format_level(const NodeName& name) {
+    return join(supported_format_level_prefix, name.value());
+}
 
 ParsedKey parse(std::string_view key) {
     if (key == autoscaler_leader) return {Kind::autoscaler, {}, std::nullopt};
     if (key == machine_types) return {Kind::machine_type_list, {}, std::nullopt};
-    if (key == format_level) return {Kind::fleet_format, {}, std::nullopt};
+    if (key == fleet_format_level) return {Kind::fleet_format, {}, std::nullopt};
     for (const auto& [prefix, kind] : prefixes) {
         if (!key.starts_with(prefix)) continue;
-        const std::string_view rest = key.substr(prefix.size());
-        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, rest);
-        if (kind == Kind::shard) return {kind, {}, number_in(rest)};
-        return {kind, rest, std::nullopt};
+        const std::string_view suffix = key.substr(prefix.size());
+        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, suffix);
+        if (kind == Kind::shard) return {kind, {}, parse_number(suffix)};
+        return {kind, suffix, std::nullopt};
     }
     return {};
 }
--- a/src/store/token_bucket.cpp
+++ b/src/store/token_bucket.cpp
@@ -3,7 +3,7 @@
 namespace zincdyke {
 namespace {
 constexpr Duration min_wait = std::chrono::milliseconds(2);
-constexpr double rounding_error = 1e-9;
+constexpr double rounding_tolerance = 1e-9;
 }  // namespace
 
 void TokenBucket::refill(SteadyTime now) {
@@ -11,12 +11,12 @@
     last_refill_ = now;
 }
 
-bool TokenBucket::has(SteadyTime now, double amount) {
+bool TokenBucket::refill_and_check(SteadyTime now, double amount) {
     refill(now);
-    return tokens_ >= std::min(amount, rate_) - rounding_error;
+    return tokens_ >= std::min(amount, rate_) - rounding_tolerance;
 }
 
-Duration TokenBucket::until(double amount) const {
+Duration TokenBucket::time_until(double amount) const {
     return std::max(min_wait, seconds((std::min(amount, rate_) - tokens_) / rate_));
 }
 
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -19,9 +19,10 @@
         response.is_gang = job->spec.shape == wire::Shape::gang;
         const Placement placement{request, *job, state_cache_.required_zone(*job)};
         auto candidates = find_candidates(placement);
-        response.offers = sched::rank(candidates, request.need, request.tasks.size(),
-                                      {.each_zone = job->spec.one_zone && !placement.required_zone,
-                                       .spread_replicas = job->spec.is_service()});
+        response.offers =
+            sched::make_offers(candidates, request.need, request.tasks.size(),
+                               {.is_limit_per_zone = job->spec.one_zone && !placement.required_zone,
+                                .spread_replicas = job->spec.is_service()});
         counts_.offers += response.offers.size();
         components_.capacity.reserve_offers(request.round, request.need, response.offers);
     }
@@ -69,8 +70,8 @@
                                0};
     const auto* machines_with_failures = components_.cordons.machines_with_failed_tasks(job.spec.id);
     if (machines_with_failures != nullptr && machines_with_failures->contains(id))
-        candidate.penalty += failed_on_machine_penalty;
-    if (job.spec.is_service()) candidate.replicas = replicas_on(id, job.spec.id);
+        candidate.failure_penalty += failed_on_machine_penalty;
+    if (job.spec.is_service()) candidate.replica_count = replicas_on(id, job.spec.id);
     return candidate;
 }
 
