--- a/src/cluster/pending_reads.h
+++ b/src/cluster/pending_reads.h
@@ -15,7 +15,7 @@
 class PendingReads {
   public:
     /// Receives the outcome of a read: `is_fresh` is true if the state cache contains everything committed
-    /// before the read was added, and false if the read timed out.
+    /// before the read was requested, and false if the read timed out or could not be started.
     using Callback = std::function<void(bool is_fresh)>;
 
     /// Appends a read that starts at `now`; `done` is called exactly once.
--- a/src/sched/placement_rules.h
+++ b/src/sched/placement_rules.h
@@ -64,9 +64,9 @@
                      const std::vector<wire::MachineType>& types);
 
 /// Returns the score of a candidate for a task that needs `need`; higher is better. `largest` is the maximum
-/// of each resource over all candidates. A cached image counts most, then free capacity after placement. Each
-/// existing replica lowers the score: a second replica on a machine with the image scores below a first
-/// replica on another one, a third below a first on a machine without the image.
+/// of each resource over all candidates. Recent failures count most, then a cached image, then free capacity.
+/// Each existing replica lowers the score: with the image cached, a second replica scores below the first
+/// replica on another such machine, and a third below the first on a machine without the image.
 std::int64_t score(const Candidate& candidate, const Resources& need, const Resources& largest);
 
 /// Options of `make_offers`.
