--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -15,16 +15,17 @@
 Json format_state(const StateCache& state_cache, const FormatLevel& format_level) {
     Json waiting_for = Json::array();
     for (const auto& node : format_level.unregistered_nodes()) waiting_for.push_back(node.value());
-    return {{"level", state_cache.format_level()},
+    return {{"level", state_cache.fleet_format_level()},
             {"known", FormatLevel::highest_supported},
             {"waiting_for", std::move(waiting_for)}};
 }
 
 Json commit_counts(const TaskCommitter& committer) {
     const auto& counts = committer.counts();
-    return {{"commits", counts.commits},    {"pages", counts.pages},         {"starts", counts.starts},
-            {"ends", counts.ends},          {"conflicts", counts.conflicts}, {"forwarded", counts.forwarded},
-            {"reclaimed", counts.reclaimed}};
+    return {{"commits", counts.sent_transactions},     {"pages", counts.written_pages},
+            {"starts", counts.committed_starts},       {"ends", counts.committed_ends},
+            {"conflicts", counts.conflicts},           {"forwarded", counts.forwarded_operations},
+            {"reclaimed", counts.reclaimed_operations}};
 }
 
 Json store_counts(const StoreClient& store) {
@@ -35,8 +36,8 @@
             {"writes", counts.writes},
             {"watches", counts.watches},
             {"watch_bytes", counts.watch_bytes},
-            {"rate_limited", counts.refused},
-            {"load_shed", counts.shed}};
+            {"rate_limited", counts.rate_limited},
+            {"load_shed", counts.load_shed}};
 }
 
 Json worker_counts(const WorkerManager& workers) {
@@ -51,9 +52,9 @@
 }
 
 Json round_counts(const Relay& relay, const PlacementGatherer& gatherer) {
-    return {{"started", relay.counts().started},
-            {"decided", gatherer.counts().decided},
-            {"decision_ms", gatherer.counts().decision_ms},
+    return {{"started", relay.counts().rounds_started},
+            {"decided", gatherer.counts().rounds_decided},
+            {"decision_ms", gatherer.counts().total_decision_ms},
             {"failed_placements", relay.counts().failed_placements}};
 }
 
@@ -62,7 +63,7 @@
     for (const auto& [job_class, steps] : times.by_class())
         for (std::size_t i = 0; i < steps.size(); ++i)
             by_class[job_class][step_name(static_cast<StartStep>(i))] = steps[i];
-    return {{"bounds_s", StartTimes::bounds_s}, {"by_class", std::move(by_class)}};
+    return {{"bounds_s", StartTimes::bucket_bounds_s}, {"by_class", std::move(by_class)}};
 }
 
 }  // namespace
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -31,10 +31,11 @@
 
 std::vector<NodeName> FormatLevel::unregistered_nodes() const {
     std::vector<NodeName> missing;
-    if (state_cache_.format_level() >= highest_supported) return missing;
+    if (state_cache_.fleet_format_level() >= highest_supported) return missing;
     for (const auto& node : all_nodes_) {
-        const auto registered = state_cache_.known_formats().find(node);
-        if (registered == state_cache_.known_formats().end() || registered->second < highest_supported)
+        const auto registered = state_cache_.supported_format_levels().find(node);
+        if (registered == state_cache_.supported_format_levels().end() ||
+            registered->second < highest_supported)
             missing.push_back(node);
     }
     return missing;
@@ -42,17 +43,19 @@
 
 void FormatLevel::update_level() {
     env_.after(update_interval, [this] { update_level(); });
-    if (!cluster_.is_up_to_date() || is_commit_in_flight_ || state_cache_.format_level() >= highest_supported)
+    if (!cluster_.is_up_to_date() || is_commit_in_flight_ ||
+        state_cache_.fleet_format_level() >= highest_supported)
         return;
     const auto missing = unregistered_nodes();
     if (std::find(missing.begin(), missing.end(), settings_.node) != missing.end())
-        return commit_level(keys::known_format(settings_.node), highest_supported, "format_registered");
+        return commit_level(keys::supported_format_level(settings_.node), highest_supported,
+                            "format_registered");
     if (missing.size() != logged_missing_count_) log::info("event=format_level_waits for={}", join(missing));
     logged_missing_count_ = missing.size();
     // One controller picked by hash commits the raise, to avoid conflicts. A duplicate commit would be
     // harmless, because it is conditional on the version read.
-    if (missing.empty() && pick_by_hash(keys::format_level, cluster_.live_nodes()) == settings_.node)
-        commit_level(keys::format_level, highest_supported, "format_level_raised");
+    if (missing.empty() && pick_by_hash(keys::fleet_format_level, cluster_.live_nodes()) == settings_.node)
+        commit_level(keys::fleet_format_level, highest_supported, "format_level_raised");
 }
 
 // If the commit gets no response, the watch eventually shows whether it was executed. The next attempt is
--- a/src/workers/agent_link.cpp
+++ b/src/workers/agent_link.cpp
@@ -4,45 +4,45 @@
 
 namespace zincdyke {
 
-Duration certain_lease_expiry(double lease_s) { return seconds(lease_s * 1.002) + millis(100); }
+Duration max_lease_duration(double lease_s) { return seconds(lease_s * 1.002) + millis(100); }
 
 void AgentLink::begin_term(Term term) {
     term_ = term;
-    has_shown_term_ = has_sent_heartbeat_ = receives_responses_ = false;
+    has_received_term_ = has_sent_heartbeat_ = receives_responses_ = false;
     token_count_ = 0;
-    heartbeat_requested_ = {};
+    heartbeat_requested_at_ = {};
 }
 
 void AgentLink::on_message(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source,
                            SteadyTime now) {
     if (term_ != term) begin_term(term);
-    const bool shows_term = heartbeat.token.term == term;
+    const bool confirms_term = heartbeat.token.term == term;
     const bool is_from_agent = source == HeartbeatSource::agent;
-    if (shows_term) token_count_ = std::max(token_count_, heartbeat.token.count);
-    // A new epoch begins when no response arrived for a lease, however many were written.
+    if (confirms_term) token_count_ = std::max(token_count_, heartbeat.token.count);
+    // An agent begins a new epoch when it received no response for a whole lease duration.
     if (heartbeat.sequence.agent_epoch > sequence_.agent_epoch) {
         receives_responses_ = false;
-        answered_number_ = 0;
+        last_answered_number_ = 0;
     }
-    if (shows_term && !has_shown_term_) receives_responses_ = true;
-    if (is_from_agent && answered_number_ > 0 && heartbeat.sequence.number == answered_number_ + 1)
+    if (confirms_term && !has_received_term_) receives_responses_ = true;
+    if (is_from_agent && last_answered_number_ > 0 && heartbeat.sequence.number == last_answered_number_ + 1)
         receives_responses_ = true;
     if (is_from_agent && receives_responses_) last_connected_ = now;
     sequence_ = heartbeat.sequence;
-    if (shows_term) has_shown_term_ = true;
+    if (confirms_term) has_received_term_ = true;
     if (is_from_agent) has_sent_heartbeat_ = true;
 }
 
-void AgentLink::note_received(SteadyTime now) { last_received_ = std::max(last_received_, now); }
+void AgentLink::record_message_received(SteadyTime now) { last_received_ = std::max(last_received_, now); }
 
-void AgentLink::expire(Term term) {
+void AgentLink::mark_lease_expired(Term term) {
     expired_epoch_ = sequence_.agent_epoch;
     expired_term_ = term;
     receives_responses_ = false;
 }
 
-void AgentLink::note_heartbeat_requested(SteadyTime now) {
-    heartbeat_requested_ = now;
+void AgentLink::record_heartbeat_requested(SteadyTime now) {
+    heartbeat_requested_at_ = now;
     ++token_count_;
 }
 
@@ -50,13 +50,13 @@
     return sequence <= sequence_ || (expired_term_ == term && sequence.agent_epoch <= expired_epoch_);
 }
 
-bool AgentLink::is_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now, double lease_s) const {
+bool AgentLink::is_lease_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now, double lease_s) const {
     return term_ == term && has_sent_heartbeat_ && agent_epoch == sequence_.agent_epoch &&
-           now - last_received_ > certain_lease_expiry(lease_s);
+           now - last_received_ > max_lease_duration(lease_s);
 }
 
 bool AgentLink::was_heartbeat_requested(SteadyTime now, Duration interval) const {
-    return heartbeat_requested_ != SteadyTime{} && now - heartbeat_requested_ < interval;
+    return heartbeat_requested_at_ != SteadyTime{} && now - heartbeat_requested_at_ < interval;
 }
 
 }  // namespace zincdyke
