--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -147,7 +147,7 @@
     const Team& team = found_team->second;
     if ((team.cpu_max > 0 && spec.need.cpu * concurrent_tasks > team.cpu_max) ||
         (team.gpu_max > 0 && spec.need.gpu * concurrent_tasks > team.gpu_max))
-        return "the job's concurrent tasks exceed the team's limit";
+        return "more than the team's limit";
     return std::nullopt;
 }
 
@@ -198,8 +198,7 @@
     transaction.writes.push_back({keys::job(id), record, std::nullopt});
     if (!store_.is_within_limits(transaction))
         return reject_unless_exists(
-            id, HttpResponse::bad_request(wire::error_answer("job description too large")),
-            submission->reply);
+            id, HttpResponse::bad_request(wire::error_answer("description too large")), submission->reply);
     store_.commit(transaction, RequestPriority::user, [this, submission, record](const CommitResult& result) {
         on_submission_committed(submission, record, result);
     });
