--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -49,7 +49,7 @@
         });
     node = std::make_unique<zincdyke::Node>(env, settings, policy);
     zincdyke::ServerLimits limits;
-    limits.connections = settings.sockets().server;
+    limits.max_connections = settings.sockets().server;
     zincdyke::HttpServer server(loop, settings.api_addr, limits,
                                 [&node](const zincdyke::HttpRequest& request, const zincdyke::Reply& reply) {
                                     node->on_request(request, reply);
--- a/src/app/real_env.cpp
+++ b/src/app/real_env.cpp
@@ -16,10 +16,10 @@
 ClientLimits client_limits(std::size_t connections, std::size_t per_address, std::size_t queue,
                            std::size_t response_bytes) {
     ClientLimits limits;
-    limits.connections = connections;
-    limits.per_address = std::min(connections, per_address);
-    limits.queue = queue;
-    limits.response = response_bytes;
+    limits.max_connections = connections;
+    limits.max_connections_per_address = std::min(connections, per_address);
+    limits.max_queued_requests = queue;
+    limits.max_response_bytes = response_bytes;
     return limits;
 }
 }  // namespace
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -3,7 +3,7 @@
 #include "base/env.h"
 #include "loop/http_client.h"
 #include "loop/loop.h"
-#include "loop/peers.h"
+#include "loop/peer_links.h"
 
 namespace zincdyke {
 
--- a/src/loop/http_client.cpp
+++ b/src/loop/http_client.cpp
@@ -53,7 +53,7 @@
     call->done = std::move(done);
     call->text = serialize(address, req);
     Host& host = hosts_[address];
-    if (host.waiting.size() >= limits_.queue) {
+    if (host.waiting.size() >= limits_.max_queued_requests) {
         loop_.after(Duration(0), [this, call] { finish(call, {}); });
         return;
     }
@@ -103,8 +103,8 @@
 // Whether the address may get another connection. If only the total stands against it, it is noted as
 // starved.
 bool HttpClient::connection_allowed(const std::string& address) {
-    if (hosts_[address].open.size() >= limits_.per_address) return false;
-    if (open_connections_ < limits_.connections || evict_idle()) return true;
+    if (hosts_[address].open.size() >= limits_.max_connections_per_address) return false;
+    if (open_connections_ < limits_.max_connections || evict_idle()) return true;
     if (std::find(starved_.begin(), starved_.end(), address) == starved_.end()) starved_.push_back(address);
     return false;
 }
@@ -130,7 +130,7 @@
 void HttpClient::open(const std::string& address) {
     Fd fd = start_connect(address);
     if (!fd.valid()) return;
-    auto c = std::make_shared<Connection>(limits_.response);
+    auto c = std::make_shared<Connection>(limits_.max_response_bytes);
     c->address = address;
     c->fd = std::move(fd);
     c->since = Loop::now();
@@ -175,12 +175,12 @@
         const ssize_t n = ::send(c.fd.get(), rest.data(), rest.size(), MSG_NOSIGNAL);
         if (n < 0) {
             if (errno != EAGAIN && errno != EINTR) return false;
-            loop_.change(c.fd.get(), EPOLLIN | EPOLLOUT);
+            loop_.update_events(c.fd.get(), EPOLLIN | EPOLLOUT);
             return true;
         }
         c.sent += static_cast<std::size_t>(n);
     }
-    loop_.change(c.fd.get(), EPOLLIN);
+    loop_.update_events(c.fd.get(), EPOLLIN);
     return true;
 }
 
@@ -232,7 +232,7 @@
     c->call = nullptr;
     // Nothing of `c` is used from here on: what is forgotten may have owned it.
     const Fd fd = std::move(c->fd);
-    loop_.forget(fd.get());
+    loop_.unwatch(fd.get());
     loop_.after(Duration(0), [this, address] {
         pump(address);
         pump_next_starved();
@@ -244,7 +244,7 @@
     std::vector<ConnectionPtr> late;
     for (const auto& [address, host] : hosts_)
         for (const auto& c : host.open)
-            if (!c->call && now - c->since > limits_.idle) late.push_back(c);
+            if (!c->call && now - c->since > limits_.idle_timeout) late.push_back(c);
     for (const auto& c : late) drop(c);
     std::erase_if(hosts_, [](const auto& h) { return h.second.open.empty() && h.second.waiting.empty(); });
     loop_.after(sweep_interval, [this] { sweep(); });
--- a/src/loop/http_client.h
+++ b/src/loop/http_client.h
@@ -15,13 +15,13 @@
 
 /// Bounds on the connections, queues and responses of an HttpClient.
 struct ClientLimits {
-    std::size_t per_address = 12;
-    std::size_t connections = 128;
+    std::size_t max_connections_per_address = 12;
+    std::size_t max_connections = 128;
     /// Requests waiting for one address.
-    std::size_t queue = 512;
+    std::size_t max_queued_requests = 512;
     /// Bytes of one response's body.
-    std::size_t response = std::size_t{8} * 1024 * 1024;
-    Duration idle = std::chrono::seconds(20);
+    std::size_t max_response_bytes = std::size_t{8} * 1024 * 1024;
+    Duration idle_timeout = std::chrono::seconds(20);
 };
 
 /// Requests of one kind over a bounded pool of kept-alive connections.
--- a/src/loop/http_message.cpp
+++ b/src/loop/http_message.cpp
@@ -35,7 +35,7 @@
 
 int HttpMessageParser::append_target(http_parser* parser, const char* data, std::size_t size) {
     HttpMessageParser& self = parser_of(parser);
-    if (self.target.size() + size > max_request_head) return 1;
+    if (self.target.size() + size > max_request_head_bytes) return 1;
     self.target.append(data, size);
     return 0;
 }
@@ -80,11 +80,11 @@
     used = http_parser_execute(&parser_, &settings, data.data(), data.size());
     if (too_large_) return State::too_large;
     if (done_) return State::complete;
-    if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade != 0) return State::broken;
+    if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade != 0) return State::malformed;
     if (body.empty()) {
         head_bytes_ += used;
         // A header that never ends must not hold memory.
-        if (kind_ == Kind::request && head_bytes_ > max_request_head + max_request_body)
+        if (kind_ == Kind::request && head_bytes_ > max_request_head_bytes + max_request_body_bytes)
             return State::too_large;
     }
     return State::partial;
--- a/src/loop/http_message.h
+++ b/src/loop/http_message.h
@@ -10,16 +10,16 @@
 namespace zincdyke {
 
 /// Largest request body that the server accepts, in bytes.
-constexpr std::size_t max_request_body = std::size_t{64} * 1024;
+constexpr std::size_t max_request_body_bytes = std::size_t{64} * 1024;
 /// Largest request head (request line and headers) that the server accepts, in bytes.
-constexpr std::size_t max_request_head = std::size_t{8} * 1024;
+constexpr std::size_t max_request_head_bytes = std::size_t{8} * 1024;
 
 /// Parses one direction of a connection, message by message, on top of http-parser.
 class HttpMessageParser {
   public:
     /// What the messages are: requests on a server's side, responses on a client's.
     enum class Kind : std::uint8_t { request, response };
-    enum class State : std::uint8_t { partial, complete, too_large, broken };
+    enum class State : std::uint8_t { partial, complete, too_large, malformed };
 
     HttpMessageParser(Kind kind, std::size_t max_body);
 
--- a/src/loop/http_server.cpp
+++ b/src/loop/http_server.cpp
@@ -67,7 +67,7 @@
     }
 
     Fd fd;
-    HttpMessageParser parser{HttpMessageParser::Kind::request, max_request_body};
+    HttpMessageParser parser{HttpMessageParser::Kind::request, max_request_body_bytes};
     std::string in, out;
     std::size_t sent = 0;
     bool busy = false, closing = false;
@@ -81,12 +81,12 @@
     sweep();
 }
 
-HttpServer::~HttpServer() { loop_.forget(listener_.get()); }
+HttpServer::~HttpServer() { loop_.unwatch(listener_.get()); }
 
 void HttpServer::accept_all() {
     for (int i = 0; i < max_accepts_per_event; ++i) {
         // Full of busy ones: the rest stays in the backlog, for others to be tried by the load balancer.
-        if (connections_.size() >= limits_.connections && !evict_idle()) return pause_accepting();
+        if (connections_.size() >= limits_.max_connections && !evict_idle()) return pause_accepting();
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) {
             // Out of sockets: without a pause the ready listener would spin the loop.
@@ -110,14 +110,14 @@
 }
 
 void HttpServer::pause_accepting() {
-    loop_.change(listener_.get(), 0);
+    loop_.update_events(listener_.get(), 0);
     accepting_paused_ = true;
 }
 
 void HttpServer::resume_accepting() {
-    if (!accepting_paused_ || connections_.size() >= limits_.connections) return;
+    if (!accepting_paused_ || connections_.size() >= limits_.max_connections) return;
     accepting_paused_ = false;
-    loop_.change(listener_.get(), EPOLLIN);
+    loop_.update_events(listener_.get(), EPOLLIN);
 }
 
 // The whole fleet may come to one surviving controller. Whoever is idle longest makes room, so that neither a
@@ -126,7 +126,7 @@
     ConnectionPtr longest;
     for (const auto& [fd, c] : connections_)
         if (c->wait == Connection::Wait::idle && (!longest || c->since < longest->since)) longest = c;
-    if (!longest || Loop::now() - longest->since < limits_.evict_after) return false;
+    if (!longest || Loop::now() - longest->since < limits_.min_idle_before_eviction) return false;
     close(longest);
     return true;
 }
@@ -134,11 +134,11 @@
 Duration HttpServer::wait_limit(const Connection& c) const {
     switch (c.wait) {
         case Connection::Wait::idle:
-            return limits_.idle;
+            return limits_.idle_timeout;
         case Connection::Wait::reading:
-            return limits_.request;
+            return limits_.request_timeout;
         case Connection::Wait::writing:
-            return limits_.write;
+            return limits_.write_timeout;
         case Connection::Wait::handling:
             break;
     }
@@ -152,7 +152,7 @@
         if (now - c->since > wait_limit(*c)) late.push_back(c);
     for (const auto& c : late) close(c);
     // One that was busy or fresh may have become idle long enough meanwhile.
-    if (accepting_paused_ && connections_.size() >= limits_.connections) evict_idle();
+    if (accepting_paused_ && connections_.size() >= limits_.max_connections) evict_idle();
     resume_accepting();
     loop_.after(sweep_interval, [this] { sweep(); });
 }
@@ -171,7 +171,7 @@
     if (n < 0) return;
     c->in.append(buffer.data(), static_cast<std::size_t>(n));
     // Requests are never pipelined: whoever sends much more than one at a time is cut off.
-    if (c->in.size() > max_request_head + max_request_body + read_buffer_bytes) return close(c);
+    if (c->in.size() > max_request_head_bytes + max_request_body_bytes + read_buffer_bytes) return close(c);
     if (!c->busy) parse(c);
 }
 
@@ -184,7 +184,7 @@
     switch (state) {
         case HttpMessageParser::State::partial:
             return;
-        case HttpMessageParser::State::broken:
+        case HttpMessageParser::State::malformed:
             return respond(c, {400, R"({"error":"malformed request"})", -1}, false);
         case HttpMessageParser::State::too_large:
             return respond(c, {413, R"({"error":"body over 64 KiB"})", -1}, false);
@@ -222,7 +222,7 @@
         const ssize_t n = ::send(c->fd.get(), c->out.data() + c->sent, c->out.size() - c->sent, MSG_NOSIGNAL);
         if (n < 0) {
             if (errno != EAGAIN && errno != EINTR) return close(c);
-            loop_.change(c->fd.get(), EPOLLOUT);
+            loop_.update_events(c->fd.get(), EPOLLOUT);
             return;
         }
         c->sent += static_cast<std::size_t>(n);
@@ -234,7 +234,7 @@
     c->out.clear();
     c->out.shrink_to_fit();
     if (c->closing) return close(c);
-    loop_.change(c->fd.get(), EPOLLIN);
+    loop_.update_events(c->fd.get(), EPOLLIN);
     c->begin_wait(Connection::Wait::idle, Loop::now());
     if (c->in.empty()) return;
     loop_.after(Duration(0), [this, c] {
@@ -246,7 +246,7 @@
     if (!c->fd.valid()) return;
     // Nothing of `c` is used from here on: what is forgotten may have owned it.
     Fd fd = std::move(c->fd);
-    loop_.forget(fd.get());
+    loop_.unwatch(fd.get());
     connections_.erase(fd.get());
     fd.reset();
     resume_accepting();
--- a/src/loop/http_server.h
+++ b/src/loop/http_server.h
@@ -14,14 +14,14 @@
 
 /// Bounds on what peers may hold of an HttpServer.
 struct ServerLimits {
-    std::size_t connections = 256;
+    std::size_t max_connections = 256;
     /// When the server is full, a connection idle for so long makes room for a newcomer.
-    Duration evict_after = std::chrono::seconds(1);
-    Duration idle = std::chrono::seconds(90);
+    Duration min_idle_before_eviction = std::chrono::seconds(1);
+    Duration idle_timeout = std::chrono::seconds(90);
     /// From the first byte of a request to its last.
-    Duration request = std::chrono::seconds(5);
+    Duration request_timeout = std::chrono::seconds(5);
     /// For a peer that stops reading.
-    Duration write = std::chrono::seconds(10);
+    Duration write_timeout = std::chrono::seconds(10);
 };
 
 /// Accepts connections on one address and passes each request to a handler, one at a time per connection.
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -95,14 +95,14 @@
     if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &e) != 0) throw std::runtime_error("epoll_ctl failed");
 }
 
-void Loop::change(int fd, std::uint32_t events) {
+void Loop::update_events(int fd, std::uint32_t events) {
     epoll_event e{};
     e.events = events;
     e.data.fd = fd;
     ::epoll_ctl(epoll_.get(), EPOLL_CTL_MOD, fd, &e);
 }
 
-void Loop::forget(int fd) {
+void Loop::unwatch(int fd) {
     if (handlers_.erase(fd) > 0) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
@@ -139,10 +139,10 @@
 }
 
 void Loop::run() {
-    for (;;) turn(std::chrono::seconds(60));
+    for (;;) run_once(std::chrono::seconds(60));
 }
 
-void Loop::turn(Duration most) {
+void Loop::run_once(Duration most) {
     std::array<epoll_event, 64> events;
     auto wait = most;
     if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first.first - now());
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -51,13 +51,13 @@
     static SteadyTime now();
     static WallTime wall();
     void watch(int fd, std::uint32_t events, Handler handler);
-    void change(int fd, std::uint32_t events);
-    void forget(int fd);
+    void update_events(int fd, std::uint32_t events);
+    void unwatch(int fd);
     TimerId after(Duration d, std::function<void()> fn);
     void cancel(TimerId id);
     void run();
     // One wait, of `most` at the longest, and what it brought.
-    void turn(Duration most);
+    void run_once(Duration most);
 
   private:
     void run_timers();
--- a/src/loop/peers.cpp
+++ b/src/loop/peer_links.cpp
@@ -1,4 +1,4 @@
-#include "loop/peers.h"
+#include "loop/peer_links.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -86,18 +86,18 @@
         ssize_t n = ::send(o.fd.get(), o.buffer.data(), o.buffer.size(), MSG_NOSIGNAL);
         if (n < 0) {
             if (errno != EAGAIN && errno != EINTR) return hang_up(o);
-            loop_.change(o.fd.get(), EPOLLIN | EPOLLOUT);
+            loop_.update_events(o.fd.get(), EPOLLIN | EPOLLOUT);
             return;
         }
         o.buffer.erase(0, static_cast<std::size_t>(n));
         o.since = Loop::now();
     }
-    loop_.change(o.fd.get(), EPOLLIN);
+    loop_.update_events(o.fd.get(), EPOLLIN);
 }
 
 void PeerLinks::hang_up(Out& o) {
     if (!o.fd.valid()) return;
-    loop_.forget(o.fd.get());
+    loop_.unwatch(o.fd.get());
     o.fd.reset();
     o.connected = false;
     o.buffer.clear();
@@ -109,8 +109,9 @@
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) {
             if (errno == EMFILE || errno == ENFILE) {
-                loop_.change(listener_.get(), 0);  // a ready listener that cannot accept would spin the loop
-                loop_.after(millis(300), [this] { loop_.change(listener_.get(), EPOLLIN); });
+                loop_.update_events(listener_.get(),
+                                    0);  // a ready listener that cannot accept would spin the loop
+                loop_.after(millis(300), [this] { loop_.update_events(listener_.get(), EPOLLIN); });
             }
             return;
         }
@@ -167,7 +168,7 @@
     if (!in->fd.valid()) return;
     // Nothing of `in` is used from here on: what is forgotten may have owned it.
     const Fd fd = std::move(in->fd);
-    loop_.forget(fd.get());
+    loop_.unwatch(fd.get());
     in_.erase(fd.get());
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -60,7 +60,7 @@
 
 TEST(HttpParser, AcceptsBytewiseInputAndSurvivesMutation) {
     const std::string text = "POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nabcd";
-    HttpMessageParser p(HttpMessageParser::Kind::request, max_request_body);
+    HttpMessageParser p(HttpMessageParser::Kind::request, max_request_body_bytes);
     for (std::size_t i = 0; i < text.size(); ++i) {
         std::size_t used = 0;
         auto s = p.feed(std::string_view(text).substr(i, 1), used);
@@ -68,7 +68,7 @@
     }
     EXPECT_EQ(p.body, "abcd");
     EXPECT_EQ(p.target, "/api/jobs");
-    HttpMessageParser big(HttpMessageParser::Kind::request, max_request_body);
+    HttpMessageParser big(HttpMessageParser::Kind::request, max_request_body_bytes);
     std::size_t used = 0;
     EXPECT_EQ(big.feed("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", used),
               HttpMessageParser::State::too_large);
@@ -77,8 +77,8 @@
     for (int i = 0; i < 3000; ++i) {
         std::string bad = text;
         for (int k = 0; k < 2; ++k) bad[rng() % bad.size()] = static_cast<char>(rng());
-        HttpMessageParser q(HttpMessageParser::Kind::request, max_request_body);
-        if (q.feed(bad, used) == HttpMessageParser::State::broken) ++broken;
+        HttpMessageParser q(HttpMessageParser::Kind::request, max_request_body_bytes);
+        if (q.feed(bad, used) == HttpMessageParser::State::malformed) ++broken;
     }
     EXPECT_GT(broken, 100);
 }
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -30,14 +30,14 @@
     const SteadyTime end = Loop::now() + std::chrono::seconds(20);
     while (!done()) {
         if (Loop::now() > end) return false;
-        loop.turn(millis(20));
+        loop.run_once(millis(20));
     }
     return true;
 }
 
 ClientLimits client_limits(std::size_t connections) {
     ClientLimits l;
-    l.connections = connections;
+    l.max_connections = connections;
     return l;
 }
 
@@ -47,8 +47,8 @@
     Loop loop;
     const std::string address = free_address();
     ServerLimits limits;
-    limits.connections = 8;
-    limits.evict_after = millis(1);
+    limits.max_connections = 8;
+    limits.min_idle_before_eviction = millis(1);
     Reply slow;
     HttpServer server(loop, address, limits, [&](const HttpRequest& r, const Reply& reply) {
         if (r.path == "/slow")
@@ -114,7 +114,7 @@
     Loop loop;
     const std::string address = free_address();
     ServerLimits limits;
-    limits.idle = limits.request = millis(50);
+    limits.idle_timeout = limits.request_timeout = millis(50);
     HttpServer server(loop, address, limits, [](const HttpRequest&, const Reply& reply) {
         reply({200, "", -1});
     });
@@ -126,7 +126,7 @@
             if (!std::exchange(sent, true)) {
                 EXPECT_EQ(::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL),
                           static_cast<ssize_t>(text.size()));
-                loop.change(fd.get(), EPOLLIN);
+                loop.update_events(fd.get(), EPOLLIN);
                 return;
             }
             char buf[512];
@@ -135,7 +135,7 @@
             closed = n == 0 || (n < 0 && errno == ECONNRESET);
         });
         EXPECT_TRUE(turn_until(loop, [&] { return closed; }));
-        loop.forget(fd.get());
+        loop.unwatch(fd.get());
         return got;
     };
     EXPECT_EQ(ends("POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n").substr(0, 12), "HTTP/1.1 413");
