--- a/src/loop/http_message.cpp
+++ b/src/loop/http_message.cpp
@@ -7,7 +7,8 @@
 HttpMessageParser& parser_of(http_parser* parser) { return *static_cast<HttpMessageParser*>(parser->data); }
 }  // namespace
 
-HttpMessageParser::HttpMessageParser(Kind kind, std::size_t max_body) : kind_(kind), max_body_(max_body) {
+HttpMessageParser::HttpMessageParser(Kind kind, std::size_t max_body_bytes)
+    : kind_(kind), max_body_bytes_(max_body_bytes) {
     reset();
 }
 
@@ -17,7 +18,7 @@
     method.clear();
     target.clear();
     body.clear();
-    started_ = done_ = too_large_ = false;
+    started_ = complete_ = too_large_ = false;
     keep_alive_ = true;
     status_ = 0;
     head_bytes_ = 0;
@@ -40,10 +41,10 @@
     return 0;
 }
 
-// Refuses a body before it is read when its length is announced.
+// Rejects a message whose Content-Length is over the limit before its body is read.
 int HttpMessageParser::check_announced_length(http_parser* parser) {
     HttpMessageParser& self = parser_of(parser);
-    if (parser->content_length != ULLONG_MAX && parser->content_length > self.max_body_) {
+    if (parser->content_length != ULLONG_MAX && parser->content_length > self.max_body_bytes_) {
         self.too_large_ = true;
         return -1;
     }
@@ -52,7 +53,7 @@
 
 int HttpMessageParser::append_body(http_parser* parser, const char* data, std::size_t size) {
     HttpMessageParser& self = parser_of(parser);
-    if (self.body.size() + size > self.max_body_) {
+    if (self.body.size() + size > self.max_body_bytes_) {
         self.too_large_ = true;
         return 1;
     }
@@ -62,7 +63,7 @@
 
 int HttpMessageParser::complete_message(http_parser* parser) {
     HttpMessageParser& self = parser_of(parser);
-    self.done_ = true;
+    self.complete_ = true;
     self.keep_alive_ = http_should_keep_alive(parser) != 0;
     self.status_ = static_cast<int>(parser->status_code);
     if (self.kind_ == Kind::request) self.method = http_method_str(static_cast<http_method>(parser->method));
@@ -70,20 +71,20 @@
     return 0;
 }
 
-HttpMessageParser::State HttpMessageParser::feed(std::string_view data, std::size_t& used) {
+HttpMessageParser::State HttpMessageParser::feed(std::string_view data, std::size_t& consumed) {
     static const http_parser_settings settings = callbacks();
     if (data.empty()) {
-        used = 0;
+        consumed = 0;
         return State::partial;
     }
     started_ = true;
-    used = http_parser_execute(&parser_, &settings, data.data(), data.size());
+    consumed = http_parser_execute(&parser_, &settings, data.data(), data.size());
     if (too_large_) return State::too_large;
-    if (done_) return State::complete;
+    if (complete_) return State::complete;
     if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade != 0) return State::malformed;
     if (body.empty()) {
-        head_bytes_ += used;
-        // A header that never ends must not hold memory.
+        head_bytes_ += consumed;
+        // Limits the memory that a request with an endless header can use.
         if (kind_ == Kind::request && head_bytes_ > max_request_head_bytes + max_request_body_bytes)
             return State::too_large;
     }
--- a/src/loop/http_message.h
+++ b/src/loop/http_message.h
@@ -9,30 +9,34 @@
 
 namespace zincdyke {
 
-/// Largest request body that the server accepts, in bytes.
+/// Maximum size of a request body that the HTTP server accepts.
 constexpr std::size_t max_request_body_bytes = std::size_t{64} * 1024;
-/// Largest request head (request line and headers) that the server accepts, in bytes.
+/// Maximum size of the request target that the HTTP server accepts. The request line and headers together are
+/// limited to this size plus max_request_body_bytes.
 constexpr std::size_t max_request_head_bytes = std::size_t{8} * 1024;
 
-/// Parses one direction of a connection, message by message, on top of http-parser.
+/// Parses the sequence of HTTP messages in one direction of a connection, using the http-parser library.
 class HttpMessageParser {
   public:
-    /// What the messages are: requests on a server's side, responses on a client's.
+    /// Whether the parser reads requests, as a server does, or responses, as a client does.
     enum class Kind : std::uint8_t { request, response };
+    /// Result of parsing: the message is incomplete, complete, over a size limit, or not valid HTTP.
     enum class State : std::uint8_t { partial, complete, too_large, malformed };
 
-    HttpMessageParser(Kind kind, std::size_t max_body);
+    /// `max_body_bytes` limits the body of each message.
+    HttpMessageParser(Kind kind, std::size_t max_body_bytes);
 
-    /// Consumes bytes up to the end of the present message and stores their number in `used`.
-    State feed(std::string_view data, std::size_t& used);
-    /// Prepares for the next message.
+    /// Parses bytes up to the end of the current message and stores the number of parsed bytes in `consumed`.
+    State feed(std::string_view data, std::size_t& consumed);
+    /// Discards the current message and prepares for parsing the next one.
     void reset();
 
-    /// Whether any byte of the present message has been seen.
+    /// Returns whether at least one byte of the current message has been parsed.
     bool started() const { return started_; }
-    /// Whether the connection may carry another message after this one. Valid once it is complete.
+    /// Returns whether the connection stays open after the current message. Valid once the message is
+    /// complete.
     bool keep_alive() const { return keep_alive_; }
-    /// Status code of a complete response.
+    /// Returns the HTTP status code of a complete response.
     int status() const { return status_; }
 
     std::string method, target, body;
@@ -46,9 +50,9 @@
 
     http_parser parser_{};
     Kind kind_;
-    bool started_ = false, keep_alive_ = true, done_ = false, too_large_ = false;
+    bool started_ = false, keep_alive_ = true, complete_ = false, too_large_ = false;
     int status_ = 0;
-    std::size_t max_body_, head_bytes_ = 0;
+    std::size_t max_body_bytes_, head_bytes_ = 0;
 };
 
 }  // namespace zincdyke
--- a/src/loop/http_server.cpp
+++ b/src/loop/http_server.cpp
@@ -17,8 +17,8 @@
 namespace {
 constexpr int max_accepts_per_event = 64;
 constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
-constexpr Duration sweep_interval = std::chrono::milliseconds(250);
-constexpr Duration handling_limit = std::chrono::seconds(30);
+constexpr Duration timeout_check_interval = std::chrono::milliseconds(250);
+constexpr Duration handling_timeout = std::chrono::seconds(30);
 
 const char* reason_phrase(int status) {
     switch (status) {
@@ -45,51 +45,52 @@
     }
 }
 
-std::string serialize(const HttpResponse& r, bool keep_alive) {
-    std::string text = "HTTP/1.1 " + std::to_string(r.status) + " " + reason_phrase(r.status) + "\r\n";
+std::string serialize(const HttpResponse& response, bool keep_alive) {
+    std::string text =
+        "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) + "\r\n";
     text += "Content-Type: application/json\r\n";
-    text += "Content-Length: " + std::to_string(r.body.size()) + "\r\n";
-    if (const int retry_after_s = r.retry_after_s.value_or(-1); retry_after_s >= 0)
+    text += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
+    if (const int retry_after_s = response.retry_after_s.value_or(-1); retry_after_s >= 0)
         text += "Retry-After: " + std::to_string(retry_after_s) + "\r\n";
     if (!keep_alive) text += "Connection: close\r\n";
     text += "\r\n";
-    text += r.body;
+    text += response.body;
     return text;
 }
 }  // namespace
 
 struct HttpServer::Connection {
-    enum class Wait : std::uint8_t { idle, reading, handling, writing };
+    enum class Phase : std::uint8_t { idle, reading, handling, writing };
 
-    void begin_wait(Wait kind, SteadyTime now) {
-        wait = kind;
-        since = now;
+    void begin_phase(Phase new_phase, SteadyTime now) {
+        phase = new_phase;
+        phase_started_at = now;
     }
 
     Fd fd;
     HttpMessageParser parser{HttpMessageParser::Kind::request, max_request_body_bytes};
-    std::string in, out;
-    std::size_t sent = 0;
-    bool busy = false, closing = false;
-    Wait wait = Wait::idle;
-    SteadyTime since{};  // start of the present wait
+    std::string input, output;
+    std::size_t sent_bytes = 0;
+    bool busy = false, close_after_response = false;
+    Phase phase = Phase::idle;
+    SteadyTime phase_started_at{};
 };
 
 HttpServer::HttpServer(Loop& loop, const std::string& address, ServerLimits limits, Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)), listener_(listen_on(address)) {
-    loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_all(); });
-    sweep();
+    loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_connections(); });
+    close_timed_out();
 }
 
 HttpServer::~HttpServer() { loop_.unwatch(listener_.get()); }
 
-void HttpServer::accept_all() {
+void HttpServer::accept_connections() {
     for (int i = 0; i < max_accepts_per_event; ++i) {
-        // Full of busy ones: the rest stays in the backlog, for others to be tried by the load balancer.
-        if (connections_.size() >= limits_.max_connections && !evict_idle()) return pause_accepting();
+        // While all connections are in use, new ones stay in the kernel's listen backlog.
+        if (connections_.size() >= limits_.max_connections && !evict_longest_idle()) return pause_accepting();
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) {
-            // Out of sockets: without a pause the ready listener would spin the loop.
+            // Without a pause, a readable listener causes a busy loop when file descriptors have run out.
             if (errno != EAGAIN && errno != EWOULDBLOCK && errno != ECONNABORTED && errno != EINTR)
                 pause_accepting();
             return;
@@ -99,14 +100,15 @@
 }
 
 void HttpServer::add_connection(Fd fd) {
-    const int raw = fd.get();
+    const int descriptor = fd.get();
     const int enabled = 1;
-    ::setsockopt(raw, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
-    auto c = std::make_shared<Connection>();
-    c->fd = std::move(fd);
-    c->since = Loop::now();
-    connections_[raw] = c;
-    loop_.watch(raw, EPOLLIN, [this, c](std::uint32_t events) { on_event(c, events); });
+    ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    auto connection = std::make_shared<Connection>();
+    connection->fd = std::move(fd);
+    connection->phase_started_at = Loop::now();
+    connections_[descriptor] = connection;
+    loop_.watch(descriptor, EPOLLIN,
+                [this, connection](std::uint32_t events) { on_event(connection, events); });
 }
 
 void HttpServer::pause_accepting() {
@@ -120,132 +122,138 @@
     loop_.update_events(listener_.get(), EPOLLIN);
 }
 
-// The whole fleet may come to one surviving controller. Whoever is idle longest makes room, so that neither a
-// worker's report nor a health check is kept waiting by connections that nobody uses.
-bool HttpServer::evict_idle() {
+// Closes the connection that has been idle longest, so that heartbeats and health checks get through when all
+// workers connect to one controller. Returns false if no connection has been idle long enough.
+bool HttpServer::evict_longest_idle() {
     ConnectionPtr longest;
-    for (const auto& [fd, c] : connections_)
-        if (c->wait == Connection::Wait::idle && (!longest || c->since < longest->since)) longest = c;
-    if (!longest || Loop::now() - longest->since < limits_.min_idle_before_eviction) return false;
+    for (const auto& [fd, connection] : connections_)
+        if (connection->phase == Connection::Phase::idle &&
+            (!longest || connection->phase_started_at < longest->phase_started_at))
+            longest = connection;
+    if (!longest || Loop::now() - longest->phase_started_at < limits_.min_idle_before_eviction) return false;
     close(longest);
     return true;
 }
 
-Duration HttpServer::wait_limit(const Connection& c) const {
-    switch (c.wait) {
-        case Connection::Wait::idle:
+Duration HttpServer::phase_timeout(const Connection& connection) const {
+    switch (connection.phase) {
+        case Connection::Phase::idle:
             return limits_.idle_timeout;
-        case Connection::Wait::reading:
+        case Connection::Phase::reading:
             return limits_.request_timeout;
-        case Connection::Wait::writing:
+        case Connection::Phase::writing:
             return limits_.write_timeout;
-        case Connection::Wait::handling:
+        case Connection::Phase::handling:
             break;
     }
-    return handling_limit;
+    return handling_timeout;
 }
 
-void HttpServer::sweep() {
+void HttpServer::close_timed_out() {
     const SteadyTime now = Loop::now();
-    std::vector<ConnectionPtr> late;
-    for (const auto& [fd, c] : connections_)
-        if (now - c->since > wait_limit(*c)) late.push_back(c);
-    for (const auto& c : late) close(c);
-    // One that was busy or fresh may have become idle long enough meanwhile.
-    if (accepting_paused_ && connections_.size() >= limits_.max_connections) evict_idle();
+    std::vector<ConnectionPtr> timed_out;
+    for (const auto& [fd, connection] : connections_)
+        if (now - connection->phase_started_at > phase_timeout(*connection)) timed_out.push_back(connection);
+    for (const auto& connection : timed_out) close(connection);
+    // A connection may have become idle long enough since accepting was paused.
+    if (accepting_paused_ && connections_.size() >= limits_.max_connections) evict_longest_idle();
     resume_accepting();
-    loop_.after(sweep_interval, [this] { sweep(); });
+    loop_.after(timeout_check_interval, [this] { close_timed_out(); });
 }
 
-void HttpServer::on_event(const ConnectionPtr& c, std::uint32_t events) {
-    if (!c->fd.valid()) return;
-    if ((events & (EPOLLERR | EPOLLHUP)) != 0) return close(c);
-    if ((events & EPOLLOUT) != 0) flush(c);
-    if (c->fd.valid() && (events & EPOLLIN) != 0) read(c);
+void HttpServer::on_event(const ConnectionPtr& connection, std::uint32_t events) {
+    if (!connection->fd.valid()) return;
+    if ((events & (EPOLLERR | EPOLLHUP)) != 0) return close(connection);
+    if ((events & EPOLLOUT) != 0) flush(connection);
+    if (connection->fd.valid() && (events & EPOLLIN) != 0) read(connection);
 }
 
-void HttpServer::read(const ConnectionPtr& c) {
+void HttpServer::read(const ConnectionPtr& connection) {
     std::array<char, read_buffer_bytes> buffer;
-    const ssize_t n = ::recv(c->fd.get(), buffer.data(), buffer.size(), 0);
-    if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) return close(c);
+    const ssize_t n = ::recv(connection->fd.get(), buffer.data(), buffer.size(), 0);
+    if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) return close(connection);
     if (n < 0) return;
-    c->in.append(buffer.data(), static_cast<std::size_t>(n));
-    // Requests are never pipelined: whoever sends much more than one at a time is cut off.
-    if (c->in.size() > max_request_head_bytes + max_request_body_bytes + read_buffer_bytes) return close(c);
-    if (!c->busy) parse(c);
-}
-
-void HttpServer::parse(const ConnectionPtr& c) {
-    if (c->in.empty()) return;
-    if (c->wait == Connection::Wait::idle) c->begin_wait(Connection::Wait::reading, Loop::now());
-    std::size_t used = 0;
-    const auto state = c->parser.feed(c->in, used);
-    c->in.erase(0, std::min(used, c->in.size()));
+    connection->input.append(buffer.data(), static_cast<std::size_t>(n));
+    // Limits the input that is buffered for one connection. Clients are not expected to pipeline requests.
+    if (connection->input.size() > max_request_head_bytes + max_request_body_bytes + read_buffer_bytes)
+        return close(connection);
+    if (!connection->busy) parse(connection);
+}
+
+void HttpServer::parse(const ConnectionPtr& connection) {
+    if (connection->input.empty()) return;
+    if (connection->phase == Connection::Phase::idle)
+        connection->begin_phase(Connection::Phase::reading, Loop::now());
+    std::size_t consumed = 0;
+    const auto state = connection->parser.feed(connection->input, consumed);
+    connection->input.erase(0, std::min(consumed, connection->input.size()));
     switch (state) {
         case HttpMessageParser::State::partial:
             return;
         case HttpMessageParser::State::malformed:
-            return respond(c, {400, R"({"error":"malformed request"})", -1}, false);
+            return respond(connection, {400, R"({"error":"malformed request"})", -1}, false);
         case HttpMessageParser::State::too_large:
-            return respond(c, {413, R"({"error":"body over 64 KiB"})", -1}, false);
+            return respond(connection, {413, R"({"error":"body over 64 KiB"})", -1}, false);
         case HttpMessageParser::State::complete:
-            return handle(c);
+            return handle(connection);
     }
 }
 
-void HttpServer::handle(const ConnectionPtr& c) {
-    c->busy = true;
-    c->begin_wait(Connection::Wait::handling, Loop::now());
-    const bool keep_alive = c->parser.keep_alive();
-    HttpRequest request{c->parser.method, c->parser.target, std::move(c->parser.body)};
-    c->parser.reset();
-    std::weak_ptr<Connection> weak = c;
-    handler_(std::move(request), [this, weak, keep_alive](const HttpResponse& r) {
-        const auto connection = weak.lock();
-        // The asker may be gone by now, and an answer is given once.
-        if (!connection || !connection->fd.valid() || !connection->busy) return;
-        respond(connection, r, keep_alive);
+void HttpServer::handle(const ConnectionPtr& connection) {
+    connection->busy = true;
+    connection->begin_phase(Connection::Phase::handling, Loop::now());
+    const bool keep_alive = connection->parser.keep_alive();
+    HttpRequest request{connection->parser.method, connection->parser.target,
+                        std::move(connection->parser.body)};
+    connection->parser.reset();
+    std::weak_ptr<Connection> weak = connection;
+    handler_(std::move(request), [this, weak, keep_alive](const HttpResponse& response) {
+        const auto open_connection = weak.lock();
+        // Ignores a reply if the client has disconnected or a reply has already been sent.
+        if (!open_connection || !open_connection->fd.valid() || !open_connection->busy) return;
+        respond(open_connection, response, keep_alive);
     });
 }
 
-void HttpServer::respond(const ConnectionPtr& c, const HttpResponse& r, bool keep_alive) {
-    c->busy = false;
-    c->closing = !keep_alive;
-    c->out = serialize(r, keep_alive);
-    c->sent = 0;
-    c->begin_wait(Connection::Wait::writing, Loop::now());
-    flush(c);
+void HttpServer::respond(const ConnectionPtr& connection, const HttpResponse& response, bool keep_alive) {
+    connection->busy = false;
+    connection->close_after_response = !keep_alive;
+    connection->output = serialize(response, keep_alive);
+    connection->sent_bytes = 0;
+    connection->begin_phase(Connection::Phase::writing, Loop::now());
+    flush(connection);
 }
 
-void HttpServer::flush(const ConnectionPtr& c) {
-    while (c->sent < c->out.size()) {
-        const ssize_t n = ::send(c->fd.get(), c->out.data() + c->sent, c->out.size() - c->sent, MSG_NOSIGNAL);
+void HttpServer::flush(const ConnectionPtr& connection) {
+    while (connection->sent_bytes < connection->output.size()) {
+        const ssize_t n = ::send(connection->fd.get(), connection->output.data() + connection->sent_bytes,
+                                 connection->output.size() - connection->sent_bytes, MSG_NOSIGNAL);
         if (n < 0) {
-            if (errno != EAGAIN && errno != EINTR) return close(c);
-            loop_.update_events(c->fd.get(), EPOLLOUT);
+            if (errno != EAGAIN && errno != EINTR) return close(connection);
+            loop_.update_events(connection->fd.get(), EPOLLOUT);
             return;
         }
-        c->sent += static_cast<std::size_t>(n);
+        connection->sent_bytes += static_cast<std::size_t>(n);
     }
-    if (!c->out.empty()) finish_response(c);
-}
-
-void HttpServer::finish_response(const ConnectionPtr& c) {
-    c->out.clear();
-    c->out.shrink_to_fit();
-    if (c->closing) return close(c);
-    loop_.update_events(c->fd.get(), EPOLLIN);
-    c->begin_wait(Connection::Wait::idle, Loop::now());
-    if (c->in.empty()) return;
-    loop_.after(Duration(0), [this, c] {
-        if (c->fd.valid() && !c->busy) parse(c);
+    if (!connection->output.empty()) finish_response(connection);
+}
+
+void HttpServer::finish_response(const ConnectionPtr& connection) {
+    connection->output.clear();
+    connection->output.shrink_to_fit();
+    if (connection->close_after_response) return close(connection);
+    loop_.update_events(connection->fd.get(), EPOLLIN);
+    connection->begin_phase(Connection::Phase::idle, Loop::now());
+    if (connection->input.empty()) return;
+    loop_.after(Duration(0), [this, connection] {
+        if (connection->fd.valid() && !connection->busy) parse(connection);
     });
 }
 
-void HttpServer::close(const ConnectionPtr& c) {
-    if (!c->fd.valid()) return;
-    // Nothing of `c` is used from here on: what is forgotten may have owned it.
-    Fd fd = std::move(c->fd);
+void HttpServer::close(const ConnectionPtr& connection) {
+    if (!connection->fd.valid()) return;
+    // The removed handler may hold the last reference to `connection`, so it must not be used afterwards.
+    Fd fd = std::move(connection->fd);
     loop_.unwatch(fd.get());
     connections_.erase(fd.get());
     fd.reset();
--- a/src/loop/http_server.h
+++ b/src/loop/http_server.h
@@ -1,4 +1,4 @@
-/// HTTP/1.1 server on the event loop, for users and workers.
+/// HTTP/1.1 server on the event loop, for requests of users and workers.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,25 +12,29 @@
 
 namespace zincdyke {
 
-/// Bounds on what peers may hold of an HttpServer.
+/// Limits on the connections of an HttpServer.
 struct ServerLimits {
     std::size_t max_connections = 256;
-    /// When the server is full, a connection idle for so long makes room for a newcomer.
+    /// Time for which a connection must be idle before it may be closed in favor of a new connection. Applies
+    /// only while the maximum number of connections is open.
     Duration min_idle_before_eviction = std::chrono::seconds(1);
+    /// Time after which a connection without a request is closed.
     Duration idle_timeout = std::chrono::seconds(90);
-    /// From the first byte of a request to its last.
+    /// Maximum time from the first byte of a request to its last byte.
     Duration request_timeout = std::chrono::seconds(5);
-    /// For a peer that stops reading.
+    /// Maximum time for sending a response; guards against clients that stop reading.
     Duration write_timeout = std::chrono::seconds(10);
 };
 
-/// Accepts connections on one address and passes each request to a handler, one at a time per connection.
+/// Accepts connections on one address and passes each request to a handler, one request at a time per
+/// connection. `loop` must outlive the server.
 class HttpServer {
   public:
-    /// Handles one request. The reply may be given later, from the loop; a second one is ignored.
+    /// Handles one request. The handler may call the reply callback immediately or later from the event loop;
+    /// a second call is ignored.
     using Handler = std::function<void(HttpRequest, Reply)>;
 
-    /// Listens on `address`; throws std::runtime_error when it cannot.
+    /// Listens on `address`. Throws std::runtime_error on failure.
     HttpServer(Loop& loop, const std::string& address, ServerLimits limits, Handler handler);
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
@@ -40,21 +44,21 @@
     struct Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
 
-    void accept_all();
+    void accept_connections();
     void add_connection(Fd fd);
     void pause_accepting();
     void resume_accepting();
-    bool evict_idle();
-    Duration wait_limit(const Connection& c) const;
-    void sweep();
-    void on_event(const ConnectionPtr& c, std::uint32_t events);
-    void read(const ConnectionPtr& c);
-    void parse(const ConnectionPtr& c);
-    void handle(const ConnectionPtr& c);
-    void respond(const ConnectionPtr& c, const HttpResponse& r, bool keep_alive);
-    void flush(const ConnectionPtr& c);
-    void finish_response(const ConnectionPtr& c);
-    void close(const ConnectionPtr& c);
+    bool evict_longest_idle();
+    Duration phase_timeout(const Connection& connection) const;
+    void close_timed_out();
+    void on_event(const ConnectionPtr& connection, std::uint32_t events);
+    void read(const ConnectionPtr& connection);
+    void parse(const ConnectionPtr& connection);
+    void handle(const ConnectionPtr& connection);
+    void respond(const ConnectionPtr& connection, const HttpResponse& response, bool keep_alive);
+    void flush(const ConnectionPtr& connection);
+    void finish_response(const ConnectionPtr& connection);
+    void close(const ConnectionPtr& connection);
 
     Loop& loop_;
     ServerLimits limits_;
--- a/src/loop/peer_links.cpp
+++ b/src/loop/peer_links.cpp
@@ -13,10 +13,11 @@
 
 namespace zincdyke {
 namespace {
-constexpr std::size_t most_unsent = std::size_t{1024} * 1024;
-constexpr Duration dial_limit = std::chrono::milliseconds(1500);
-// A link that makes no progress for this long is given up: after a cut, a fresh one gets through sooner.
-constexpr Duration stuck_limit = std::chrono::seconds(3);
+constexpr std::size_t max_unsent_bytes = std::size_t{1024} * 1024;
+constexpr Duration connect_timeout = std::chrono::milliseconds(1500);
+// A connection without progress for this long is closed, because a new connection recovers sooner from a
+// network failure than TCP retransmission does.
+constexpr Duration stall_timeout = std::chrono::seconds(3);
 }  // namespace
 
 PeerLinks::PeerLinks(Loop& loop, const Settings& settings, Handler handler)
@@ -24,152 +25,155 @@
       settings_(settings),
       handler_(std::move(handler)),
       listener_(listen_on(settings.cluster_listen)) {
-    for (const auto& s : settings.seeds) out_[s.node].address = s.address;
-    loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_all(); });
+    for (const auto& seed : settings.seeds) outgoing_links_[seed.node].address = seed.address;
+    loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_links(); });
 }
 
 void PeerLinks::send(const NodeName& to, const std::string& frame) {
-    auto it = out_.find(to);
-    if (it == out_.end()) return;
-    Out& o = it->second;
-    // Bounded: what a peer doesn't read is dropped, and every sender copes with lost messages.
+    auto it = outgoing_links_.find(to);
+    if (it == outgoing_links_.end()) return;
+    OutgoingLink& link = it->second;
+    // Limits the memory for unsent frames to a peer that does not read. Senders tolerate the loss of
+    // messages.
     const bool oversized = frame.size() > wire::max_peer_frame + wire::peer_header_bytes;
-    if (oversized || o.buffer.size() + frame.size() > most_unsent) {
-        if (!std::exchange(o.dropping, true))
+    if (oversized || link.buffer.size() + frame.size() > max_unsent_bytes) {
+        if (!std::exchange(link.is_dropping, true))
             log::warn("event=peer_messages_dropped to={} reason={} bytes={}", to.value(),
-                      oversized ? "oversized" : "unread", o.buffer.size() + frame.size());
+                      oversized ? "oversized" : "unread", link.buffer.size() + frame.size());
         return;
     }
-    o.dropping = false;
+    link.is_dropping = false;
     SteadyTime now = Loop::now();
-    if (o.fd.valid() && now - o.since > (o.connected ? stuck_limit : dial_limit) &&
-        (!o.connected || !o.buffer.empty()))
-        hang_up(o);
-    if (!o.fd.valid()) {
-        if (now - o.since < millis(300) && o.since != SteadyTime{}) return;
-        dial(to);
-        if (!o.fd.valid()) return;
+    if (link.fd.valid() && now - link.last_progress_at > (link.connected ? stall_timeout : connect_timeout) &&
+        (!link.connected || !link.buffer.empty()))
+        disconnect(link);
+    if (!link.fd.valid()) {
+        if (now - link.last_progress_at < millis(300) && link.last_progress_at != SteadyTime{}) return;
+        connect(to);
+        if (!link.fd.valid()) return;
     }
-    if (o.buffer.empty()) o.since = now;
-    o.buffer += frame;
-    if (o.connected) flush(to);
+    if (link.buffer.empty()) link.last_progress_at = now;
+    link.buffer += frame;
+    if (link.connected) flush(to);
 }
 
-void PeerLinks::dial(const NodeName& to) {
-    Out& o = out_[to];
-    o.since = Loop::now();
-    o.connected = false;
-    o.buffer = wire::encode(wire::Hello{settings_.node, 0});
-    o.fd = start_connect(o.address);
-    if (!o.fd.valid()) return;
-    int raw = o.fd.get();
-    loop_.watch(raw, EPOLLOUT, [this, to, raw](std::uint32_t events) {
-        Out& out = out_[to];
-        if (out.fd.get() != raw) return;
-        if ((events & (EPOLLERR | EPOLLHUP)) != 0) return hang_up(out);
+void PeerLinks::connect(const NodeName& to) {
+    OutgoingLink& link = outgoing_links_[to];
+    link.last_progress_at = Loop::now();
+    link.connected = false;
+    link.buffer = wire::encode(wire::Hello{settings_.node, 0});
+    link.fd = start_connect(link.address);
+    if (!link.fd.valid()) return;
+    int descriptor = link.fd.get();
+    loop_.watch(descriptor, EPOLLOUT, [this, to, descriptor](std::uint32_t events) {
+        OutgoingLink& outgoing_link = outgoing_links_[to];
+        if (outgoing_link.fd.get() != descriptor) return;
+        if ((events & (EPOLLERR | EPOLLHUP)) != 0) return disconnect(outgoing_link);
         if ((events & EPOLLIN) != 0) {
-            char c;
-            ssize_t n = ::recv(raw, &c, 1, 0);
-            if (n >= 0 || (errno != EAGAIN && errno != EINTR))
-                return hang_up(out);  // peers never answer here
+            char unexpected_byte;
+            ssize_t n = ::recv(descriptor, &unexpected_byte, 1, 0);
+            // Peers send no data on this connection: received data or an end of stream closes it.
+            if (n >= 0 || (errno != EAGAIN && errno != EINTR)) return disconnect(outgoing_link);
         }
         if ((events & EPOLLOUT) != 0) {
-            out.connected = true;
+            outgoing_link.connected = true;
             flush(to);
         }
     });
 }
 
 void PeerLinks::flush(const NodeName& to) {
-    Out& o = out_[to];
-    while (!o.buffer.empty()) {
-        ssize_t n = ::send(o.fd.get(), o.buffer.data(), o.buffer.size(), MSG_NOSIGNAL);
+    OutgoingLink& link = outgoing_links_[to];
+    while (!link.buffer.empty()) {
+        ssize_t n = ::send(link.fd.get(), link.buffer.data(), link.buffer.size(), MSG_NOSIGNAL);
         if (n < 0) {
-            if (errno != EAGAIN && errno != EINTR) return hang_up(o);
-            loop_.update_events(o.fd.get(), EPOLLIN | EPOLLOUT);
+            if (errno != EAGAIN && errno != EINTR) return disconnect(link);
+            loop_.update_events(link.fd.get(), EPOLLIN | EPOLLOUT);
             return;
         }
-        o.buffer.erase(0, static_cast<std::size_t>(n));
-        o.since = Loop::now();
+        link.buffer.erase(0, static_cast<std::size_t>(n));
+        link.last_progress_at = Loop::now();
     }
-    loop_.update_events(o.fd.get(), EPOLLIN);
+    loop_.update_events(link.fd.get(), EPOLLIN);
 }
 
-void PeerLinks::hang_up(Out& o) {
-    if (!o.fd.valid()) return;
-    loop_.unwatch(o.fd.get());
-    o.fd.reset();
-    o.connected = false;
-    o.buffer.clear();
-    o.since = Loop::now();
+void PeerLinks::disconnect(OutgoingLink& link) {
+    if (!link.fd.valid()) return;
+    loop_.unwatch(link.fd.get());
+    link.fd.reset();
+    link.connected = false;
+    link.buffer.clear();
+    link.last_progress_at = Loop::now();
 }
 
-void PeerLinks::accept_all() {
+void PeerLinks::accept_links() {
     for (int i = 0; i < 16; ++i) {
         Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.valid()) {
             if (errno == EMFILE || errno == ENFILE) {
-                loop_.update_events(listener_.get(),
-                                    0);  // a ready listener that cannot accept would spin the loop
+                // A readable listener would cause a busy loop while no file descriptor is available.
+                loop_.update_events(listener_.get(), 0);
                 loop_.after(millis(300), [this] { loop_.update_events(listener_.get(), EPOLLIN); });
             }
             return;
         }
-        if (in_.size() >= 4 * settings_.seeds.size() + 8) continue;  // bounded: strangers are closed at once
-        auto in = std::make_shared<In>();
-        int raw = fd.get();
-        in->fd = std::move(fd);
-        in_[raw] = in;
-        loop_.watch(raw, EPOLLIN, [this, in](std::uint32_t) { read(in); });
+        // Limits the number of connections, because unknown hosts can connect, too.
+        if (incoming_links_.size() >= 4 * settings_.seeds.size() + 8) continue;
+        auto link = std::make_shared<IncomingLink>();
+        int descriptor = fd.get();
+        link->fd = std::move(fd);
+        incoming_links_[descriptor] = link;
+        loop_.watch(descriptor, EPOLLIN, [this, link](std::uint32_t) { read(link); });
     }
 }
 
-void PeerLinks::read(const std::shared_ptr<In>& in) {
-    char buf[32 * 1024];
-    ssize_t n = ::recv(in->fd.get(), buf, sizeof buf, 0);
+void PeerLinks::read(const std::shared_ptr<IncomingLink>& link) {
+    char buffer[32 * 1024];
+    ssize_t n = ::recv(link->fd.get(), buffer, sizeof buffer, 0);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0) return close(in);
-    in->buffer.append(buf, static_cast<std::size_t>(n));
+    if (n <= 0) return close(link);
+    link->buffer.append(buffer, static_cast<std::size_t>(n));
     std::size_t at = 0;
-    while (in->buffer.size() - at >= wire::peer_header_bytes) {
+    while (link->buffer.size() - at >= wire::peer_header_bytes) {
         std::uint32_t length = 0;
         for (std::size_t i = wire::peer_header_bytes; i-- > 0;)
-            length = (length << 8) | static_cast<unsigned char>(in->buffer[at + i]);
+            length = (length << 8) | static_cast<unsigned char>(link->buffer[at + i]);
         if (length > wire::max_peer_frame) {
-            log::warn("event=peer_message_rejected from={} reason=oversized bytes={}", in->from.value(),
+            log::warn("event=peer_message_rejected from={} reason=oversized bytes={}", link->peer.value(),
                       length);
-            return close(in);
+            return close(link);
         }
-        if (in->buffer.size() - at - wire::peer_header_bytes < length) break;
-        auto m = wire::decode(std::string_view(in->buffer).substr(at + wire::peer_header_bytes, length));
+        if (link->buffer.size() - at - wire::peer_header_bytes < length) break;
+        auto message =
+            wire::decode(std::string_view(link->buffer).substr(at + wire::peer_header_bytes, length));
         at += wire::peer_header_bytes + length;
-        const auto* hello = m ? std::get_if<wire::Hello>(&*m) : nullptr;
-        const bool known = hello != nullptr && out_.contains(hello->node);
-        if (!m || (in->from.empty() && !known)) {
-            log::warn("event=peer_message_rejected from={} reason=undecodable bytes={}", in->from.value(),
+        const auto* hello = message ? std::get_if<wire::Hello>(&*message) : nullptr;
+        const bool is_known_peer = hello != nullptr && outgoing_links_.contains(hello->node);
+        if (!message || (link->peer.empty() && !is_known_peer)) {
+            log::warn("event=peer_message_rejected from={} reason=undecodable bytes={}", link->peer.value(),
                       length);
-            return close(in);
+            return close(link);
         }
         if (hello != nullptr) {
-            in->from = hello->node;
-            // The newest link from a peer replaces its older ones, which a cut may have left half open.
-            std::vector<std::shared_ptr<In>> old;
-            for (auto& [fd, other] : in_)
-                if (other != in && other->from == in->from) old.push_back(other);
-            for (auto& o : old) close(o);
+            link->peer = hello->node;
+            // After a network failure, older connections from the same peer may be half-open.
+            std::vector<std::shared_ptr<IncomingLink>> older_links;
+            for (auto& [fd, other] : incoming_links_)
+                if (other != link && other->peer == link->peer) older_links.push_back(other);
+            for (auto& older_link : older_links) close(older_link);
         } else {
-            handler_(in->from, std::move(*m));
+            handler_(link->peer, std::move(*message));
         }
     }
-    in->buffer.erase(0, at);
+    link->buffer.erase(0, at);
 }
 
-void PeerLinks::close(const std::shared_ptr<In>& in) {
-    if (!in->fd.valid()) return;
-    // Nothing of `in` is used from here on: what is forgotten may have owned it.
-    const Fd fd = std::move(in->fd);
+void PeerLinks::close(const std::shared_ptr<IncomingLink>& link) {
+    if (!link->fd.valid()) return;
+    // The removed handler may hold the last reference to `link`, so it must not be used afterwards.
+    const Fd fd = std::move(link->fd);
     loop_.unwatch(fd.get());
-    in_.erase(fd.get());
+    incoming_links_.erase(fd.get());
 }
 
 }  // namespace zincdyke
