--- a/src/app/health_check.cpp
+++ b/src/app/health_check.cpp
@@ -2,15 +2,16 @@
 
 namespace zincdyke {
 namespace {
-// An outage for all reaches the nodes one by one: a node that left the list at the first sign of it, while
-// its peers were not yet aware, would be kept off the list long after.
-constexpr Duration outage_tolerance = std::chrono::milliseconds(3500);
+// Controllers detect an outage of the key-value store at slightly different times. Without this tolerance,
+// the first one to detect it would report itself unhealthy and be removed by the load balancer.
+constexpr Duration store_outage_tolerance = std::chrono::milliseconds(3500);
 }  // namespace
 
 bool HealthCheck::is_healthy() const {
     if (!cluster_.is_synced() || !jobs_api_.ready()) return false;
-    if (store_.unreachable_for() < outage_tolerance) return true;
-    // When nobody is served, leaving the load balancer's list helps no user and only delays the return to it.
+    if (store_.unreachable_for() < store_outage_tolerance) return true;
+    // If no other controller can serve requests either, being removed by the load balancer would only delay
+    // the recovery.
     return !peers_.is_any_reachable();
 }
 
--- a/src/app/health_check.h
+++ b/src/app/health_check.h
@@ -1,4 +1,4 @@
-/// Whether this controller should get users' requests.
+/// Health check for the load balancer.
 #pragma once
 #include "app/peer_registry.h"
 #include "cluster/cluster_coordinator.h"
@@ -7,13 +7,16 @@
 
 namespace zincdyke {
 
-/// The answer to the load balancer's question at /healthz.
+/// Determines the result of GET /healthz, by which the load balancer decides whether to send requests to this
+/// controller.
 class HealthCheck {
   public:
     HealthCheck(const ClusterCoordinator& cluster, const JobsApi& jobs_api, StoreClient& store,
                 const PeerRegistry& peers)
         : cluster_(cluster), jobs_api_(jobs_api), store_(store), peers_(peers) {}
 
+    /// Returns whether this controller can serve users' requests. Returns true during an outage of the
+    /// key-value store if no peer is reachable either.
     [[nodiscard]] bool is_healthy() const;
 
   private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The program: reads its settings, then runs one controller until the process is ended.
+// Entry point of zincdyke: loads the settings and runs one controller until the process is terminated.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -14,23 +14,24 @@
 
 namespace {
 
-constexpr int exit_failed = 1;         // could not start, or ended by an error that nobody foresaw
-constexpr int exit_invalid_input = 2;  // wrong arguments, settings or policy
+constexpr int exit_failed = 1;         // exit code for a startup failure or an unhandled exception
+constexpr int exit_invalid_input = 2;  // exit code for invalid arguments, settings or policy
 
-constexpr rlim_t reserved_files = 64;  // for what is no socket
+constexpr rlim_t reserved_files = 64;  // file descriptors for files other than sockets
 constexpr rlim_t min_sockets = 32;
 
-// Raises the limit on open files to what the settings allow: a process starts with 1,024 in most places.
-// Where the system allows fewer, the settings are lowered to that.
+// Raises the process's limit on open files to what Settings::max_sockets requires. If the system does not
+// allow that, lowers Settings::max_sockets instead.
 void raise_file_limit(zincdyke::Settings& settings) {
     rlimit limit{};
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
-    const rlim_t wanted = rlim_t{settings.max_sockets} + reserved_files;
-    if (limit.rlim_cur >= wanted) return;
+    const rlim_t required_files = rlim_t{settings.max_sockets} + reserved_files;
+    if (limit.rlim_cur >= required_files) return;
     rlimit raised = limit;
-    raised.rlim_cur = limit.rlim_max == RLIM_INFINITY ? wanted : std::min(wanted, limit.rlim_max);
+    raised.rlim_cur =
+        limit.rlim_max == RLIM_INFINITY ? required_files : std::min(required_files, limit.rlim_max);
     if (::setrlimit(RLIMIT_NOFILE, &raised) == 0) limit = raised;
-    if (limit.rlim_cur >= wanted) return;
+    if (limit.rlim_cur >= required_files) return;
     const rlim_t available = limit.rlim_cur - std::min(limit.rlim_cur, reserved_files);
     const auto max_sockets = static_cast<std::uint32_t>(std::max(min_sockets, available));
     zincdyke::log::warn("event=file_limit_low open_files={} max_sockets={} used={}", limit.rlim_cur,
@@ -38,10 +39,12 @@
     settings.max_sockets = std::min(settings.max_sockets, max_sockets);
 }
 
-// Runs one controller. Returns only if the event loop ends; throws if it cannot start.
+// Runs one controller and does not return. Throws an exception if the controller cannot start or if an error
+// is not handled.
 void run_controller(const zincdyke::Settings& settings, const zincdyke::Policy& policy) {
     zincdyke::Loop loop;
-    // The links and the server need handlers before the node exists, but call them only from the loop.
+    // RealEnv and HttpServer take handlers that refer to the node. They call them only from the event loop,
+    // which runs after the node has been created.
     std::unique_ptr<zincdyke::Node> node;
     zincdyke::RealEnv env(
         loop, settings, [&node](const zincdyke::NodeName& from, const zincdyke::wire::PeerMessage& message) {
@@ -64,8 +67,8 @@
     CLI::App app{"zincdyke: a cluster scheduler"};
     std::string settings_file, policy_file;
     bool check_only = false;
-    app.add_option("--config", settings_file, "settings file of the platform (TOML)")->required();
-    app.add_option("--policy", policy_file, "the operators' own settings (Lua)");
+    app.add_option("--config", settings_file, "platform settings file (TOML)")->required();
+    app.add_option("--policy", policy_file, "operators' policy file (Lua)");
     app.add_flag("--check", check_only, "check the settings and the policy, then exit");
     app.set_version_flag("--version", std::string("zincdyke ") + ZINCDYKE_VERSION);
     try {
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -1,4 +1,4 @@
-/// One controller, whole: its parts and how they are wired. The world is behind Env.
+/// A complete controller, independent of sockets and clocks, which Env provides.
 #pragma once
 #include "app/health_check.h"
 #include "app/peer_heartbeat_sender.h"
@@ -25,16 +25,17 @@
 
 namespace zincdyke {
 
-/// Owns all parts of a controller and passes on what they tell each other. Everything is called from the one
-/// event loop. `env`, `settings` and `policy` must outlive it.
+/// Owns all components of a controller and forwards events between them. All member functions must be called
+/// on the event-loop thread. `env`, `settings` and `policy` must outlive the node.
 class Node : private StateObserver, private ClusterObserver {
   public:
     Node(Env& env, const Settings& settings, const Policy& policy);
-    /// Begins to work; to be called once.
+    /// Starts all components. Must be called exactly once.
     void start();
-    /// An HTTP request to this node; it is answered now or later.
+    /// Handles an HTTP request to this node. Calls `reply` exactly once, immediately or later from the event
+    /// loop.
     void on_request(const HttpRequest& request, const Reply& reply) { router_.route(request, reply); }
-    /// A message from another controller.
+    /// Handles a message from another controller or from this node itself.
     void on_peer(const NodeName& from, const wire::PeerMessage& message) {
         dispatcher_.dispatch(from, message);
     }
@@ -53,9 +54,9 @@
     void on_job_set_changed() override { workers_.on_jobs_changed(); }
     void on_membership_changed() override { cluster_.on_membership_changed(); }
     void on_leadership_acquired(std::uint32_t shard) override { workers_.on_leadership_acquired(shard); }
-    void on_state_read(SteadyTime sent) override { cancellation_watermark_.on_state_read(sent); }
+    void on_state_read(SteadyTime sent_at) override { cancellation_watermark_.on_state_read(sent_at); }
 
-    // In the order in which they depend on each other.
+    // Members are constructed in this order; each component uses only components declared before it.
     PeerRegistry peers_;
     StateCache state_cache_;
     StoreClient store_;
--- a/src/app/peer_heartbeat_sender.cpp
+++ b/src/app/peer_heartbeat_sender.cpp
@@ -8,12 +8,13 @@
 namespace zincdyke {
 namespace {
 constexpr Duration heartbeat_interval = std::chrono::milliseconds(500);
-constexpr std::size_t max_machines_per_heartbeat = 500;  // the rest follow in further messages
-// The autoscaler's leader alone needs to know what each machine does. The others must know where to announce
-// themselves, should a shard fall to them: told each time, the machines of a large fleet would take most of
-// the processors.
-constexpr std::uint64_t heartbeats_per_status = 2;    // with machines, to the autoscaler's leader
-constexpr std::uint64_t heartbeats_per_address = 20;  // with machines, to all
+// Limits the message size. The statuses of further machines are sent in additional heartbeats.
+constexpr std::size_t max_machines_per_heartbeat = 500;
+// Only the autoscaler's leader needs up-to-date machine statuses. Other controllers need the machines'
+// addresses in case they become leader of a shard. They receive the statuses less often, because processing
+// the statuses of a large cluster takes much CPU time.
+constexpr std::uint64_t heartbeats_per_autoscaler_status = 2;
+constexpr std::uint64_t heartbeats_per_peer_status = 20;
 }  // namespace
 
 PeerHeartbeatSender::PeerHeartbeatSender(Env& env, const Settings& settings, PeerRegistry& peers,
@@ -27,14 +28,14 @@
     const double write_demand = sources_.committer.sample_write_demand();
     if (sources_.cluster.is_synced())
         sources_.cluster.update_write_share(write_demand, peers_.reachable_write_demands());
-    const std::uint64_t number = sent_++;
+    const std::uint64_t heartbeat_number = sent_heartbeats_++;
     wire::PeerHeartbeat heartbeat;
     heartbeat.store_reachable = sources_.store.reachable();
     heartbeat.applied_revision = sources_.state_cache.applied_revision.value();
     heartbeat.write_demand = static_cast<std::uint32_t>(write_demand * write_demand_scale);
     send_acknowledgements(heartbeat);
-    if (number % heartbeats_per_status == 0)
-        send_machine_statuses(std::move(heartbeat), number % heartbeats_per_address == 0);
+    if (heartbeat_number % heartbeats_per_autoscaler_status == 0)
+        send_machine_statuses(std::move(heartbeat), heartbeat_number % heartbeats_per_peer_status == 0);
 }
 
 void PeerHeartbeatSender::send_acknowledgements(wire::PeerHeartbeat heartbeat) {
--- a/src/app/peer_heartbeat_sender.h
+++ b/src/app/peer_heartbeat_sender.h
@@ -1,4 +1,4 @@
-/// The periodic heartbeat from this controller to the others.
+/// Periodic heartbeats from this controller to the other controllers.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -16,11 +16,12 @@
 
 namespace zincdyke {
 
-/// Tells all peers, twice a second, whether this node reaches the key-value store, what it has to commit and
-/// which cancellations it knows; and the autoscaler's leader, once a second, what each machine does.
+/// Sends heartbeats to all other controllers: twice a second with the reachability of the key-value store,
+/// the write demand and the cancellation ack, and every 10 s also with the statuses of this node's machines.
+/// The autoscaler's leader receives the machine statuses once a second.
 class PeerHeartbeatSender {
   public:
-    /// The parts of the controller that a heartbeat tells of. All must outlive the sender.
+    /// Components of the controller that provide the contents of a heartbeat. All must outlive the sender.
     struct Sources {
         const StoreClient& store;
         const StateCache& state_cache;
@@ -31,7 +32,7 @@
         Autoscaler& autoscaler;
     };
     PeerHeartbeatSender(Env& env, const Settings& settings, PeerRegistry& peers, const Sources& sources);
-    /// Sends the first heartbeat at once.
+    /// Sends the first heartbeat immediately and further ones periodically. Must be called exactly once.
     void start();
 
   private:
@@ -43,7 +44,7 @@
     const Settings& settings_;
     PeerRegistry& peers_;
     Sources sources_;
-    std::uint64_t sent_ = 0;
+    std::uint64_t sent_heartbeats_ = 0;
 };
 
 }  // namespace zincdyke
--- a/src/app/peer_message_dispatcher.cpp
+++ b/src/app/peer_message_dispatcher.cpp
@@ -8,75 +8,75 @@
     std::visit([this, &from](const auto& content) { this->on(from, content); }, message);
 }
 
-// The links handle it.
+// PeerLinks handles Hello messages, so there is nothing left to do here.
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::Hello& /*hello*/) {}
 
 void PeerMessageDispatcher::on(const NodeName& from, const wire::PeerHeartbeat& heartbeat) {
-    to_.peers.on_heartbeat(from, heartbeat);
+    recipients_.peers.on_heartbeat(from, heartbeat);
     if (heartbeat.cancellation_ack.sender_epoch != 0)
-        to_.cancellation_watermark.on_acknowledgement(from, heartbeat.cancellation_ack);
-    to_.workers.on_peer_heartbeat(heartbeat);
-    to_.autoscaler.on_peer_heartbeat(from, heartbeat);
+        recipients_.cancellation_watermark.on_acknowledgement(from, heartbeat.cancellation_ack);
+    recipients_.workers.on_peer_heartbeat(heartbeat);
+    recipients_.autoscaler.on_peer_heartbeat(from, heartbeat);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::PlacementRequest& request) {
-    to_.workers.on_placement_request(request);
+    recipients_.workers.on_placement_request(request);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::PlacementResponse& response) {
-    to_.gatherer.on_placement_response(response);
+    recipients_.gatherer.on_placement_response(response);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::PlacementDecision& decision) {
-    to_.workers.on_placement_decision(decision);
+    recipients_.workers.on_placement_decision(decision);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::PlacementFailure& failure) {
-    to_.relay.on_placement_failure(failure);
+    recipients_.relay.on_placement_failure(failure);
 }
 
 void PeerMessageDispatcher::on(const NodeName& from, const wire::DrainRequest& request) {
-    to_.workers.on_drain_request(from, request);
+    recipients_.workers.on_drain_request(from, request);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::DrainResponse& response) {
-    to_.autoscaler.on_drain_response(response);
+    recipients_.autoscaler.on_drain_response(response);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/,
                                const wire::MachinesTerminatedNotification& notification) {
-    to_.autoscaler.on_machines_terminated(notification);
-    to_.workers.on_machines_terminated(notification);
+    recipients_.autoscaler.on_machines_terminated(notification);
+    recipients_.workers.on_machines_terminated(notification);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::ReservationUpdate& update) {
-    to_.workers.on_reservation_update(update);
+    recipients_.workers.on_reservation_update(update);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::PreemptionRequest& request) {
-    to_.workers.on_preemption_request(request);
+    recipients_.workers.on_preemption_request(request);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/,
                                const wire::MachinesDiscoveredNotification& notification) {
-    to_.workers.on_machines_discovered(notification);
+    recipients_.workers.on_machines_discovered(notification);
 }
 
 void PeerMessageDispatcher::on(const NodeName& from, const wire::CommitRequest& request) {
-    to_.committer.on_commit_request(from, request);
+    recipients_.committer.on_commit_request(from, request);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::CommitResponse& response) {
-    to_.committer.on_commit_response(response);
+    recipients_.committer.on_commit_response(response);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/,
                                const wire::CapacityFreedNotification& notification) {
-    to_.relay.on_capacity_freed(notification);
+    recipients_.relay.on_capacity_freed(notification);
 }
 
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::JobCancelledNotification& notification) {
-    to_.state_cache.mark_cancelled(notification.job);
+    recipients_.state_cache.mark_cancelled(notification.job);
 }
 
 }  // namespace zincdyke
--- a/src/app/peer_message_dispatcher.h
+++ b/src/app/peer_message_dispatcher.h
@@ -1,4 +1,4 @@
-/// Which part of a controller takes a message from another one.
+/// Dispatch of peer messages to the components of a controller.
 #pragma once
 #include "app/peer_registry.h"
 #include "autoscaler/autoscaler.h"
@@ -12,11 +12,11 @@
 
 namespace zincdyke {
 
-/// Hands each message to the parts that it is for. Called from the event loop, with messages of peers and of
-/// this node to itself alike.
+/// Passes each peer message to the components that handle its type. Messages come from other controllers or
+/// from this node itself.
 class PeerMessageDispatcher {
   public:
-    /// The parts that take messages. All must outlive the dispatcher.
+    /// Components that handle peer messages. All must outlive the dispatcher.
     struct Recipients {
         PeerRegistry& peers;
         StateCache& state_cache;
@@ -27,8 +27,9 @@
         PlacementGatherer& gatherer;
         Autoscaler& autoscaler;
     };
-    explicit PeerMessageDispatcher(const Recipients& recipients) : to_(recipients) {}
+    explicit PeerMessageDispatcher(const Recipients& recipients) : recipients_(recipients) {}
 
+    /// Handles one message from the node `from`. Must be called on the event-loop thread.
     void dispatch(const NodeName& from, const wire::PeerMessage& message);
 
   private:
@@ -49,7 +50,7 @@
     void on(const NodeName& from, const wire::CapacityFreedNotification& notification);
     void on(const NodeName& from, const wire::JobCancelledNotification& notification);
 
-    Recipients to_;
+    Recipients recipients_;
 };
 
 }  // namespace zincdyke
--- a/src/app/peer_registry.cpp
+++ b/src/app/peer_registry.cpp
@@ -5,7 +5,7 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration peer_timeout = std::chrono::milliseconds(1800);  // since a peer's last heartbeat
+constexpr Duration heartbeat_timeout = std::chrono::milliseconds(1800);
 }  // namespace
 
 PeerRegistry::PeerRegistry(Env& env, const Settings& settings, Deliver deliver)
@@ -13,7 +13,8 @@
 
 void PeerRegistry::send(const NodeName& to, wire::PeerMessage message) {
     if (to == settings_.node) {
-        // Through the loop as well: no part is called back from within its own call.
+        // The message is delivered from the event loop, so that no component is re-entered during its own
+        // call.
         env_.after(Duration(0), [this, message = std::move(message)] { deliver_(settings_.node, message); });
         return;
     }
@@ -21,7 +22,7 @@
 }
 
 bool PeerRegistry::is_reachable(const Peer& peer) const {
-    return peer.store_reachable && env_.now() - peer.last_heard < peer_timeout;
+    return peer.store_reachable && env_.now() - peer.last_heartbeat_at < heartbeat_timeout;
 }
 
 bool PeerRegistry::is_reachable(const NodeName& peer) const {
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -1,4 +1,4 @@
-/// Env on the epoll loop, with real sockets and clocks.
+/// Env implementation with real sockets and clocks.
 #pragma once
 #include "base/env.h"
 #include "loop/http_client.h"
@@ -7,10 +7,12 @@
 
 namespace zincdyke {
 
-/// The key-value store, the cloud and the workers each have an HTTP client of their own, so that silent
-/// workers hold up no lease and no commit. `loop` and `settings` must outlive it.
+/// Implements Env on the event loop. The key-value store, the cloud and the workers each have an HTTP client
+/// of their own, so that workers that do not respond cannot delay lease renewals or commits. `loop` and
+/// `settings` must outlive the RealEnv.
 class RealEnv : public Env {
   public:
+    /// Calls `on_peer` for each message received from another controller.
     RealEnv(Loop& loop, const Settings& settings, PeerLinks::Handler on_peer);
     SteadyTime now() override { return Loop::now(); }
     WallTime wall() override { return Loop::wall(); }
--- a/src/app/request_router.h
+++ b/src/app/request_router.h
@@ -1,4 +1,4 @@
-/// Which part of a controller answers an HTTP request.
+/// Routing of HTTP requests to the components of a controller.
 #pragma once
 #include "app/health_check.h"
 #include "app/status_report.h"
@@ -8,8 +8,8 @@
 
 namespace zincdyke {
 
-/// Routes the requests of users, workers, operators and the load balancer. Each gets exactly one answer, now
-/// or later.
+/// Routes HTTP requests of users, workers, operators and the load balancer by their path. The components
+/// passed to the constructor must outlive the router.
 class RequestRouter {
   public:
     RequestRouter(JobsApi& jobs_api, WorkerManager& workers, const HealthCheck& health_check,
@@ -19,6 +19,7 @@
           health_check_(health_check),
           status_sources_(status_sources) {}
 
+    /// Handles one request. `reply` is called exactly once, immediately or later from the event loop.
     void route(const HttpRequest& request, const Reply& reply);
 
   private:
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -30,7 +30,7 @@
 
 Json store_counts(const StoreClient& store) {
     const auto& counts = store.counts();
-    // `order` names the entries of the two lists, by their priority.
+    // "order" names the priority class of each entry of the lists "requests" and "writes".
     return {{"order", {"lease", "report", "decision", "user"}},
             {"requests", counts.requests},
             {"writes", counts.writes},
--- a/src/app/status_report.h
+++ b/src/app/status_report.h
@@ -1,4 +1,4 @@
-/// What /internal/status tells the operators (docs/operations.md).
+/// Status report for operators, served at /internal/status and described in docs/operations.md.
 #pragma once
 #include <string>
 
@@ -14,7 +14,7 @@
 
 namespace zincdyke {
 
-/// The parts of a controller that the report tells of.
+/// Components of a controller whose state the status report contains. All must outlive this struct.
 struct StatusSources {
     const Settings& settings;
     const StoreClient& store;
@@ -27,7 +27,7 @@
     const PlacementGatherer& gatherer;
 };
 
-/// The report as JSON text. Counters count from the start of the process.
+/// Returns the status report as JSON text. Its counters start at 0 when the process starts.
 [[nodiscard]] std::string status_report(const StatusSources& sources);
 
 }  // namespace zincdyke
