--- a/src/app/real_env.cpp
+++ b/src/app/real_env.cpp
@@ -27,7 +27,7 @@
 RealEnv::RealEnv(Loop& loop, const Settings& settings, PeerLinks::Handler on_peer)
     : loop_(loop),
       settings_(settings),
-      store_(loop, client_limits(settings.sockets().state, settings.sockets().state, 2048,
+      store_(loop, client_limits(settings.sockets().store, settings.sockets().store, 2048,
                                  max_response_bytes(settings))),
       cloud_(loop, client_limits(settings.sockets().cloud, settings.sockets().cloud, 128, 4 * mib)),
       workers_(loop, client_limits(settings.sockets().workers, 2, 16, mib)),
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -19,9 +19,9 @@
     }
     void cancel(TimerId id) override { loop_.cancel(id); }
     void http(const std::string& address, HttpRequest request, Duration timeout, Reply done) override {
-        HttpClient& client = address == settings_.state   ? store_
-                             : address == settings_.cloud ? cloud_
-                                                          : workers_;
+        HttpClient& client = address == settings_.store_address   ? store_
+                             : address == settings_.cloud_address ? cloud_
+                                                                  : workers_;
         client.request(address, request, timeout, std::move(done));
     }
     void send_peer(const NodeName& to, std::string message) override { peers_.send(to, message); }
--- a/src/app/request_router.cpp
+++ b/src/app/request_router.cpp
@@ -12,7 +12,7 @@
                                                 : HttpResponse::service_unavailable());
     if (request.path == "/internal/status") return reply(HttpResponse::ok(status_report(status_sources_)));
     if (jobs_api_.handle(request, reply)) return;
-    reply(HttpResponse::not_found(wire::error_answer("no such path")));
+    reply(HttpResponse::not_found(wire::error_response_body("no such path")));
 }
 
 void RequestRouter::handle_heartbeat(const HttpRequest& request, const Reply& reply) {
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -125,8 +125,8 @@
 
 // Writes the machine types to the key-value store if they have changed.
 void Autoscaler::on_machine_types(const std::vector<wire::MachineType>& types) {
-    const Json value = wire::types_to_json(types);
-    if (value == wire::types_to_json(state_cache_.machine_types())) return;
+    const Json value = wire::machine_types_to_json(types);
+    if (value == wire::machine_types_to_json(state_cache_.machine_types())) return;
     Transaction txn;
     txn.conditions.push_back({keys::machine_types, state_cache_.version(keys::machine_types)});
     txn.writes.push_back({keys::machine_types, value, std::nullopt});
@@ -148,7 +148,7 @@
                 seen.insert(machine.id);
                 inventory_.record_listed(machine, now);
             }
-            if (page->more && !page->machines.empty())
+            if (page->has_more && !page->machines.empty())
                 return read_machine_list(page->machines.back().id.value(), std::move(seen));
             has_read_list_ = true;
             announce_discovered_machines();
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -193,7 +193,7 @@
     double objective_s = no_objective_s;
     for (const auto& objective : settings_.objectives)
         if (objective.kind == "wait" && objective.job_class == job_class)
-            objective_s = std::min(objective_s, objective.within_s);
+            objective_s = std::min(objective_s, objective.target_s);
     return objective_s;
 }
 
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -138,9 +138,9 @@
     for (const auto& objective : settings.objectives) {
         if (objective.job_class != spec.job_class) continue;
         if (objective.kind == "wait")
-            max_wait_s = std::min(max_wait_s, objective.within_s * wait_share_of_objective);
+            max_wait_s = std::min(max_wait_s, objective.target_s * wait_share_of_objective);
         if (objective.kind == "finished")
-            max_wait_s = std::min(max_wait_s, share_of_slack(objective.within_s));
+            max_wait_s = std::min(max_wait_s, share_of_slack(objective.target_s));
     }
     return max_wait_s;
 }
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -115,13 +115,13 @@
     Objective o;
     o.kind = text_at(t, "kind");
     o.job_class = t.contains("class") ? text_at(t, "class", true) : "";
-    o.within_s = t.contains("within_s") ? number_at(t, "within_s", 0, 1e9) : 0;
-    o.share = t.contains("share") ? number_at(t, "share", 0, 1) : 0;
+    o.target_s = t.contains("within_s") ? number_at(t, "within_s", 0, 1e9) : 0;
+    o.target_share = t.contains("share") ? number_at(t, "share", 0, 1) : 0;
     return o;
 }
 
-StateLimits state_limits_at(const toml::table& root, const std::string& key) {
-    StateLimits limits;
+StoreLimits store_limits_at(const toml::table& root, const std::string& key) {
+    StoreLimits limits;
     limits.write_rps = number_at(root, key + ".write_rps", 1, 1e6);
     limits.value_kb = number_at(root, key + ".value_kb", 2, 64);
     limits.txn_ops = count_at(root, key + ".txn_ops", least_txn_ops, 10000);
@@ -130,19 +130,19 @@
 
 // What the platform says of workers, state service, cloud and this machine.
 void read_platform_limits(const toml::table& root, Settings& s) {
-    s.report_s = number_at(root, "params.workers.report_s", 0.1, 3600);
+    s.heartbeat_interval_s = number_at(root, "params.workers.report_s", 0.1, 3600);
     s.lease_s = number_at(root, "params.workers.lease_s", 1, 36000);
     s.gang_wait_s = number_at(root, "params.workers.gang_wait_s", 0, 36000);
-    s.gang_peer_s = number_at(root, "params.workers.gang_peer_s", 0, 36000);
+    s.gang_peer_timeout_s = number_at(root, "params.workers.gang_peer_s", 0, 36000);
     s.cancel_s = number_at(root, "params.workers.cancel_s", 1, 36000);
-    s.state_rps = number_at(root, "params.state.rps", 1, 1e6);
-    s.state_limits = state_limits_at(root, "params.state");
-    s.strictest_limits = s.state_limits;
+    s.store_rps = number_at(root, "params.state.rps", 1, 1e6);
+    s.store_limits = store_limits_at(root, "params.state");
+    s.strictest_limits = s.store_limits;
     if (root.at_path("params.state.next")) {
-        const StateLimits next = state_limits_at(root, "params.state.next");
-        s.strictest_limits.write_rps = std::min(s.state_limits.write_rps, next.write_rps);
-        s.strictest_limits.value_kb = std::min(s.state_limits.value_kb, next.value_kb);
-        s.strictest_limits.txn_ops = std::min(s.state_limits.txn_ops, next.txn_ops);
+        const StoreLimits next = store_limits_at(root, "params.state.next");
+        s.strictest_limits.write_rps = std::min(s.store_limits.write_rps, next.write_rps);
+        s.strictest_limits.value_kb = std::min(s.store_limits.value_kb, next.value_kb);
+        s.strictest_limits.txn_ops = std::min(s.store_limits.txn_ops, next.txn_ops);
     }
     s.cloud_rps = number_at(root, "params.cloud.rps", 0.1, 1e6);
     s.list_lag_s = number_at(root, "params.cloud.list_lag_s", 0, 3600);
@@ -157,12 +157,12 @@
     constexpr std::size_t own = 16;  // epoll, listeners, standard streams
     const std::size_t all = max_sockets;
     Sockets s;
-    s.state = std::clamp<std::size_t>(all / 8, 4, 16);
+    s.store = std::clamp<std::size_t>(all / 8, 4, 16);
     s.cloud = std::clamp<std::size_t>(all / 16, 2, 6);
     s.workers = std::clamp<std::size_t>(all / 12, 4, 256);
     // One each way; a peer that is back after a cut dials anew before the old links are seen to be dead.
     s.peers = 5 * seeds.size() + 8;
-    const std::size_t taken = own + s.state + s.cloud + s.workers + s.peers;
+    const std::size_t taken = own + s.store + s.cloud + s.workers + s.peers;
     s.server = all > taken + 8 ? all - taken : 8;
     return s;
 }
@@ -181,16 +181,16 @@
     s.zone = text_at(root, "zone");
     s.api_addr = address_at(root, "api_addr");
     s.cluster_listen = address_at(root, "cluster_listen");
-    s.cloud = address_at(root, "outside.cloud");
-    s.state = address_at(root, "outside.state");
+    s.cloud_address = address_at(root, "outside.cloud");
+    s.store_address = address_at(root, "outside.state");
     each_table(root, "seeds", [&](const toml::table& t) {
         Seed seed{NodeName(text_at(t, "node")), text_at(t, "zone"), address_at(t, "address")};
         // Some platforms list the node itself among its seeds.
         if (seed.node != s.node) s.seeds.push_back(std::move(seed));
     });
-    s.size = count_at(root, "params.size", 1, 1000);
+    s.controller_count = count_at(root, "params.size", 1, 1000);
     s.zones = zones_at(root, "params.zones");
-    s.skew_ms = number_at(root, "params.skew_ms", 0, 1e7);
+    s.max_clock_skew_ms = number_at(root, "params.skew_ms", 0, 1e7);
     each_table(root, "params.teams", [&](const toml::table& t) {
         const Team team = team_from(t);
         s.teams[team.name] = team;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -44,41 +44,41 @@
 };
 struct Objective {
     std::string kind, job_class;
-    double within_s = 0, share = 0;
+    double target_s = 0, target_share = 0;
 };
 
 // What the state service takes: changes a second, and of one transaction its changes and each value's size.
-struct StateLimits {
+struct StoreLimits {
     double write_rps = 0, value_kb = 0;
     std::uint32_t txn_ops = 1;
-    std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
+    std::size_t max_value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
     // Conditions of one transaction.
-    std::size_t conditions() const { return std::size_t{4} * txn_ops; }
+    std::size_t max_conditions() const { return std::size_t{4} * txn_ops; }
 };
 
 struct Settings {
     NodeName node;
-    std::string zone, api_addr, cluster_listen, cloud, state;
+    std::string zone, api_addr, cluster_listen, cloud_address, store_address;
     std::vector<Seed> seeds;
-    std::uint32_t size = 1;
+    std::uint32_t controller_count = 1;
     std::vector<std::string> zones;
-    double skew_ms = 0;
+    double max_clock_skew_ms = 0;
     std::map<TeamName, Team> teams;
     std::vector<Objective> objectives;
-    double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    double state_rps = 0;
-    StateLimits state_limits;  // today's
+    double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_timeout_s = 0, cancel_s = 0;
+    double store_rps = 0;
+    StoreLimits store_limits;  // today's
     // Today's or the announced next ones (`state.next`), whichever are lower: the state service changes to
     // those without notice, so that what is written keeps to these. Equal to today's where none are
     // announced.
-    StateLimits strictest_limits;
+    StoreLimits strictest_limits;
     double cloud_rps = 0, list_lag_s = 0;
     double core_share = 1, memory_mb = 0;
     std::uint32_t max_sockets = 1024;
 
     // How the sockets are shared out. What users and workers may hold is what our own calls leave.
     struct Sockets {
-        std::size_t state = 0, cloud = 0, workers = 0, peers = 0, server = 0;
+        std::size_t store = 0, cloud = 0, workers = 0, peers = 0, server = 0;
     };
     Sockets sockets() const;
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -35,14 +35,14 @@
         rate_limit_.take(1);
         auto [request, done] = std::move(queue_.front());
         queue_.pop_front();
-        env_.http(settings_.cloud, std::move(request), call_timeout, std::move(done));
+        env_.http(settings_.cloud_address, std::move(request), call_timeout, std::move(done));
     }
 }
 
 void CloudClient::list_machine_types(
     std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
     enqueue({"GET", "/flavors", ""}, [done = std::move(done)](const HttpResponse& response) {
-        done(response.status == 200 ? wire::parse_types(response.body) : std::nullopt);
+        done(response.status == 200 ? wire::parse_machine_types(response.body) : std::nullopt);
     });
 }
 
@@ -58,10 +58,10 @@
 void CloudClient::provision(const std::string& request, const std::string& type, const std::string& zone,
                             bool spot, std::uint32_t count,
                             std::function<void(ProvisionOutcome, std::vector<MachineId>)> done) {
-    enqueue({"POST", "/machines", wire::rent_body(request, type, zone, spot, count)},
+    enqueue({"POST", "/machines", wire::provision_request_body(request, type, zone, spot, count)},
             [done = std::move(done)](const HttpResponse& response) {
                 if (response.status == 200) {
-                    auto names = wire::parse_machine_names(response.body);
+                    auto names = wire::parse_machine_ids(response.body);
                     if (names) return done(ProvisionOutcome::ok, std::move(*names));
                     return done(ProvisionOutcome::unknown, {});
                 }
@@ -72,7 +72,7 @@
 }
 
 void CloudClient::terminate(const std::vector<MachineId>& machines, std::function<void(bool)> done) {
-    enqueue({"POST", "/machines/return", wire::return_body(machines)},
+    enqueue({"POST", "/machines/return", wire::terminate_request_body(machines)},
             [done = std::move(done)](const HttpResponse& response) { done(response.status == 200); });
 }
 
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -109,7 +109,7 @@
 // controllers, which keeps their watches within the watch share of the request budget.
 Duration StateWatcher::watch_pause() const {
     const double pause_s =
-        static_cast<double>(membership_.budget_node_count()) / (settings_.state_rps * watch_budget_share);
+        static_cast<double>(membership_.budget_node_count()) / (settings_.store_rps * watch_budget_share);
     return std::clamp(seconds(pause_s), min_watch_pause, max_watch_pause);
 }
 
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -15,9 +15,11 @@
 constexpr double min_cached_final_states = 1000, cached_final_states_per_mb = 100;
 
 HttpResponse try_later_response() {
-    return HttpResponse::service_unavailable(1, wire::error_answer("try again later"));
+    return HttpResponse::service_unavailable(1, wire::error_response_body("try again later"));
+}
+HttpResponse no_such_job_response() {
+    return HttpResponse::not_found(wire::error_response_body("no such job"));
 }
-HttpResponse no_such_job_response() { return HttpResponse::not_found(wire::error_answer("no such job")); }
 }  // namespace
 
 JobsApi::JobsApi(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
@@ -43,7 +45,7 @@
     }
     switch (target.error()) {
         case RoutingError::method_not_allowed:
-            reply(HttpResponse::method_not_allowed(wire::error_answer("method not allowed")));
+            reply(HttpResponse::method_not_allowed(wire::error_response_body("method not allowed")));
             return true;
         case RoutingError::no_such_job:
             reply(no_such_job_response());
@@ -121,16 +123,16 @@
     if (std::holds_alternative<LookupFailed>(lookup)) return try_later_response();
     if (std::holds_alternative<NoSuchJob>(lookup)) return no_such_job_response();
     if (const auto* state = std::get_if<FinalState>(&lookup); state != nullptr)
-        return HttpResponse::ok(wire::job_answer(id, state->phase, state->task_count, 0));
+        return HttpResponse::ok(wire::job_response_body(id, state->phase, state->task_count, 0));
     return unfinished_job_response(id, std::get<UnfinishedJob>(lookup).job.cancelled);
 }
 
 HttpResponse JobsApi::unfinished_job_response(const JobId& id, bool is_cancelled) const {
-    if (is_cancelled) return HttpResponse::ok(wire::job_answer(id, wire::Phase::cancelled));
+    if (is_cancelled) return HttpResponse::ok(wire::job_response_body(id, wire::Phase::cancelled));
     const Job* job = state_cache_.job(id);
     const std::int64_t running = job != nullptr ? job->placed : 0, done = job != nullptr ? job->done : 0;
     const wire::Phase phase = running > 0 ? wire::Phase::running : wire::Phase::queued;
-    return HttpResponse::ok(wire::job_answer(id, phase, done, running));
+    return HttpResponse::ok(wire::job_response_body(id, phase, done, running));
 }
 
 // Returns why a job could never run with the current settings and machine types, or nothing if it could run.
@@ -164,10 +166,10 @@
 
 void JobsApi::submit(const HttpRequest& request, const Reply& reply) {
     auto spec = wire::parse_job(request.body);
-    if (!spec) return reply(HttpResponse::bad_request(wire::error_answer(spec.error().message)));
+    if (!spec) return reply(HttpResponse::bad_request(wire::error_response_body(spec.error().message)));
     if (!ready()) return reply(try_later_response());
     if (const auto reason = rejection_reason(*spec))
-        return reject_unless_exists(spec->id, HttpResponse::unprocessable(wire::error_answer(*reason)),
+        return reject_unless_exists(spec->id, HttpResponse::unprocessable(wire::error_response_body(*reason)),
                                     reply);
     if (const JobId id = spec->id; state_cache_.job(id) != nullptr)
         return look_up(id, [this, id, reply](const JobLookup& lookup) { reply(job_response(id, lookup)); });
@@ -198,7 +200,7 @@
     transaction.writes.push_back({keys::job(id), record, std::nullopt});
     if (!store_.is_within_limits(transaction))
         return reject_unless_exists(
-            id, HttpResponse::bad_request(wire::error_answer("job description too large")),
+            id, HttpResponse::bad_request(wire::error_response_body("job description too large")),
             submission->reply);
     store_.commit(transaction, RequestPriority::user, [this, submission, record](const CommitResult& result) {
         on_submission_committed(submission, record, result);
@@ -214,7 +216,7 @@
             state_cache_.apply({keys::job(id), record, result.revision});
             log::info("event=job_accepted job={} class={} team={} tasks={} revision={}", id.value(),
                       job.spec.job_class, job.spec.team.value(), job.spec.tasks, result.revision.value());
-            return reply(HttpResponse::created(wire::job_answer(id, wire::Phase::queued)));
+            return reply(HttpResponse::created(wire::job_response_body(id, wire::Phase::queued)));
         case Outcome::conflict:
         case Outcome::unknown:
             // The job may exist already, or may have been accepted by a commit whose response was lost, so
@@ -260,7 +262,7 @@
                 log::info("event=job_cancelled job={} revision={}", id.value(), result.revision.value());
                 for (const auto& seed : settings_.seeds)
                     peers_.send(seed.node, wire::JobCancelledNotification{id});
-                return reply(HttpResponse::ok(wire::job_answer(id, wire::Phase::cancelled)));
+                return reply(HttpResponse::ok(wire::job_response_body(id, wire::Phase::cancelled)));
             }
             // The job may have finished, or the outcome is unknown: the retry reads the job's state again.
             if (!may_retry(deadline)) return reply(try_later_response());
--- a/src/jobs/pending_operation.cpp
+++ b/src/jobs/pending_operation.cpp
@@ -13,15 +13,15 @@
             return ReleaseReason::no_cause;
         case wire::ExitCause::done:
             return ReleaseReason::done;
-        case wire::ExitCause::halted:
+        case wire::ExitCause::stopped:
             return ReleaseReason::stopped;
-        case wire::ExitCause::peers:
+        case wire::ExitCause::gang_member_lost:
             return ReleaseReason::gang_member_lost;
-        case wire::ExitCause::alone:
+        case wire::ExitCause::gang_wait_timed_out:
             return ReleaseReason::gang_wait_timed_out;
         case wire::ExitCause::error:
             return ReleaseReason::error;
-        case wire::ExitCause::no_room:
+        case wire::ExitCause::no_capacity:
             return ReleaseReason::no_capacity;
         case wire::ExitCause::busy:
             return ReleaseReason::busy;
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -43,13 +43,13 @@
 }
 
 bool TransactionBuilder::can_add_page_of(const JobId& job) const {
-    const StateLimits& limits = settings_.strictest_limits;
+    const StoreLimits& limits = settings_.strictest_limits;
     const std::size_t writes = built_.transaction.writes.size();
     constexpr std::size_t shard_term_conditions = 1;
     return writes + max_writes_per_page <= limits.txn_ops && writes < context_.max_writes &&
            total_record_bytes_ <= max_total_record_bytes &&
            condition_count() + max_conditions_per_page(state_cache_.job(job)) + shard_term_conditions <=
-               limits.conditions();
+               limits.max_conditions();
 }
 
 // Returns the term that the commit of an operation needs as a condition, or nothing if the operation was
@@ -88,7 +88,7 @@
 
 TransactionBuilder::AppliedPage TransactionBuilder::apply_operations(
     const PageKey& page, const Job* job, std::vector<PendingOperation> operations) {
-    const std::size_t max_conditions = settings_.strictest_limits.conditions();
+    const std::size_t max_conditions = settings_.strictest_limits.max_conditions();
     AppliedPage result;
     if (job != nullptr) result.tasks = state_cache_.page_tasks(*job, page.page);
     for (auto& operation : operations) {
@@ -120,8 +120,8 @@
     if (task_count <= state_cache_.safe_page_size()) return true;
     const bool use_strictest_limits =
         state_cache_.fleet_format_level() >= FormatLevel::small_pages || context_.store_rejected_value;
-    const StateLimits& limits = use_strictest_limits ? settings_.strictest_limits : settings_.state_limits;
-    return record_bytes <= limits.value_bytes();
+    const StoreLimits& limits = use_strictest_limits ? settings_.strictest_limits : settings_.store_limits;
+    return record_bytes <= limits.max_value_bytes();
 }
 
 void TransactionBuilder::add_page(const PageKey& page, std::vector<PendingOperation> operations) {
--- a/src/store/page_layout.cpp
+++ b/src/store/page_layout.cpp
@@ -18,9 +18,10 @@
 }
 }  // namespace
 
-std::uint32_t page_size_for(const StateLimits& limits) {
-    return static_cast<std::uint32_t>(std::clamp<std::size_t>(
-        (limits.value_bytes() - page_overhead_bytes) / max_task_entry_bytes, min_page_tasks, max_page_tasks));
+std::uint32_t page_size_for(const StoreLimits& limits) {
+    return static_cast<std::uint32_t>(
+        std::clamp<std::size_t>((limits.max_value_bytes() - page_overhead_bytes) / max_task_entry_bytes,
+                                min_page_tasks, max_page_tasks));
 }
 
 std::uint32_t PageLayout::page_count() const { return divide_rounding_up(task_count_, page_size()); }
--- a/src/store/page_layout.h
+++ b/src/store/page_layout.h
@@ -11,7 +11,7 @@
 
 /// Returns the number of tasks per page for which a page's record always fits the store's value limit. Every
 /// version of the program derives the same number from the same limits, so it is not stored in the records.
-[[nodiscard]] std::uint32_t page_size_for(const StateLimits& limits);
+[[nodiscard]] std::uint32_t page_size_for(const StoreLimits& limits);
 
 /// A half-open range of page numbers.
 struct PageRange {
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -16,11 +16,11 @@
 }  // namespace
 
 RequestBudget::RequestBudget(const Settings& settings) : settings_(settings) {
-    set_share(1.0 / settings.size, 1.0 / settings.size);
+    set_share(1.0 / settings.controller_count, 1.0 / settings.controller_count);
 }
 
 void RequestBudget::set_share(double request_share, double write_share) {
-    const double request_rate = settings_.state_rps * request_share * usable_share;
+    const double request_rate = settings_.store_rps * request_share * usable_share;
     requests_.set_rate(std::max(min_rate, request_rate * (1 - user_read_share)));
     user_reads_.set_rate(std::max(min_rate, request_rate * user_read_share));
     writes_.set_rate(std::max(min_rate, settings_.strictest_limits.write_rps * write_share * usable_share));
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -86,7 +86,7 @@
 }
 
 void RequestQueue::send(Request request) {
-    env_.http(settings_.state, std::move(request.http), request.timeout,
+    env_.http(settings_.store_address, std::move(request.http), request.timeout,
               [this, writes = request.writes, done = std::move(request.done)](HttpResponse response) {
                   on_response(writes, response);
                   done(std::move(response));
@@ -107,7 +107,7 @@
 void RequestQueue::send_watch(HttpRequest http, Duration timeout, Reply done) {
     budget_.take_unconditionally(env_.now());
     ++counts_.watches;
-    env_.http(settings_.state, std::move(http), timeout,
+    env_.http(settings_.store_address, std::move(http), timeout,
               [this, done = std::move(done)](HttpResponse response) {
                   counts_.watch_bytes += response.body.size();
                   done(std::move(response));
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -12,10 +12,10 @@
 StateCache::StateCache(const Settings& settings, StateObserver& observer)
     : settings_(settings),
       observer_(observer),
-      standard_page_size_(page_size_for(settings.state_limits)),
+      standard_page_size_(page_size_for(settings.store_limits)),
       safe_page_size_(page_size_for(settings.strictest_limits)),
       team_quotas_(settings),
-      membership_(settings.size) {}
+      membership_(settings.controller_count) {}
 
 void StateCache::clear() {
     versions_.clear();
@@ -100,7 +100,7 @@
 }
 
 Json StateCache::encode_job(const Job& job) const {
-    return records::encode_job(job, machine_types_, settings_.strictest_limits.value_bytes());
+    return records::encode_job(job, machine_types_, settings_.strictest_limits.max_value_bytes());
 }
 
 void StateCache::apply(const KeyUpdate& update) {
@@ -129,7 +129,7 @@
             break;
         case keys::Kind::machine_type_list:
             if (!update.value) break;
-            if (auto types = wire::types_from_json(*update.value)) machine_types_ = std::move(*types);
+            if (auto types = wire::machine_types_from_json(*update.value)) machine_types_ = std::move(*types);
             break;
         case keys::Kind::final_state:
         case keys::Kind::other:
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -57,7 +57,8 @@
     HttpRequest request = store_protocol::commit_request(txn);
     // A copy of a transaction over the limits, for the log message if the store rejects it.
     std::shared_ptr<const Transaction> oversized;
-    if (request.body.size() > settings_.strictest_limits.value_bytes() || !is_within_operation_limits(txn))
+    if (request.body.size() > settings_.strictest_limits.max_value_bytes() ||
+        !is_within_operation_limits(txn))
         oversized = std::make_shared<Transaction>(txn);
     queue_.submit(priority, {std::move(request), static_cast<double>(txn.writes.size()), request_timeout,
                              [this, oversized, done = std::move(done)](const HttpResponse& response) {
@@ -95,12 +96,12 @@
 }
 
 bool StoreClient::is_within_operation_limits(const Transaction& txn) const {
-    const StateLimits& limits = settings_.strictest_limits;
-    return txn.writes.size() <= limits.txn_ops && txn.conditions.size() <= limits.conditions();
+    const StoreLimits& limits = settings_.strictest_limits;
+    return txn.writes.size() <= limits.txn_ops && txn.conditions.size() <= limits.max_conditions();
 }
 
 bool StoreClient::is_within_limits(const Transaction& txn) const {
-    const std::size_t max_bytes = settings_.strictest_limits.value_bytes();
+    const std::size_t max_bytes = settings_.strictest_limits.max_value_bytes();
     return is_within_operation_limits(txn) &&
            std::all_of(txn.writes.begin(), txn.writes.end(),
                        [&](const Write& write) { return value_bytes(write) <= max_bytes; });
@@ -108,15 +109,16 @@
 
 // Logs which limits a transaction exceeded that the store rejected as malformed.
 void StoreClient::log_rejected_transaction(const Transaction& txn) {
-    const StateLimits& limits = settings_.strictest_limits;
+    const StoreLimits& limits = settings_.strictest_limits;
     if (!is_within_operation_limits(txn))
         log::error("event=commit_rejected writes={} conditions={} limit={}", txn.writes.size(),
                    txn.conditions.size(), limits.txn_ops);
     for (const Write& write : txn.writes) {
         const std::size_t bytes = value_bytes(write);
-        if (bytes <= limits.value_bytes()) continue;
+        if (bytes <= limits.max_value_bytes()) continue;
         has_rejected_value_ = true;
-        log::error("event=value_rejected key={} bytes={} limit={}", write.key, bytes, limits.value_bytes());
+        log::error("event=value_rejected key={} bytes={} limit={}", write.key, bytes,
+                   limits.max_value_bytes());
     }
 }
 
--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -183,7 +183,7 @@
     return parse_or_error(body, spec_of);
 }
 
-std::string error_answer(std::string_view message) { return Json{{"error", message}}.dump(); }
+std::string error_response_body(std::string_view message) { return Json{{"error", message}}.dump(); }
 
 std::optional<JobSpec> spec_from_json(const Json& j) {
     try {
@@ -218,14 +218,14 @@
     return j;
 }
 
-std::string job_answer(const JobId& id, Phase phase, std::int64_t done, std::int64_t running) {
+std::string job_response_body(const JobId& id, Phase phase, std::int64_t done, std::int64_t running) {
     Json j = {{"uid", id.value()}, {"phase", phase_names[static_cast<int>(phase)]}};
     if (done >= 0) j["done"] = done;
     if (running >= 0) j["running"] = running;
     return j.dump();
 }
 
-const char* cause_name(ExitCause c) { return cause_names[static_cast<int>(c)]; }
+const char* exit_cause_name(ExitCause c) { return cause_names[static_cast<int>(c)]; }
 
 std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
     return guarded(body, [](const Json& j) {
@@ -241,7 +241,7 @@
             if (!b->is_number_unsigned()) throw Bad{"baton"};
             r.token = FencingToken::of(b->get<std::uint64_t>());
         }
-        if (const Json* n = find(j, "warning_s")) r.notice_s = amount(*n, "warning_s");
+        if (const Json* n = find(j, "warning_s")) r.spot_notice_s = amount(*n, "warning_s");
         for (const auto& e : need(j, "shards")) {
             TaskStatus t;
             t.task = task_ref(text(e, "shard"));
@@ -282,9 +282,11 @@
     return leader ? Json{{"foreman", leader->value()}}.dump() : "{}";
 }
 
-std::optional<std::vector<MachineType>> parse_types(std::string_view body) { return guarded(body, types_of); }
+std::optional<std::vector<MachineType>> parse_machine_types(std::string_view body) {
+    return guarded(body, types_of);
+}
 
-std::optional<std::vector<MachineType>> types_from_json(const Json& j) {
+std::optional<std::vector<MachineType>> machine_types_from_json(const Json& j) {
     try {
         return types_of(j);
     } catch (const Bad&) {
@@ -293,7 +295,7 @@
     return std::nullopt;
 }
 
-Json types_to_json(const std::vector<MachineType>& types) {
+Json machine_types_to_json(const std::vector<MachineType>& types) {
     Json list = Json::array();
     for (const auto& t : types)
         list.push_back({{"sku", t.name},
@@ -312,7 +314,7 @@
 std::optional<MachinePage> parse_machine_page(std::string_view body) {
     return guarded(body, [](const Json& j) {
         MachinePage page;
-        page.more = flag(j, "has_next");
+        page.has_more = flag(j, "has_next");
         for (const auto& e : need(j, "werven")) {
             ListedMachine m;
             m.id = MachineId(text(e, "uid"));
@@ -331,19 +333,19 @@
     });
 }
 
-std::string rent_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                      std::uint32_t count) {
+std::string provision_request_body(const std::string& request, const std::string& type,
+                                   const std::string& zone, bool spot, std::uint32_t count) {
     return Json{{"hire", request}, {"breed", type}, {"field", zone}, {"loaners", spot}, {"how_many", count}}
         .dump();
 }
 
-std::string return_body(const std::vector<MachineId>& machines) {
+std::string terminate_request_body(const std::vector<MachineId>& machines) {
     Json names = Json::array();
     for (const auto& m : machines) names.push_back(m.value());
     return Json{{"werven", std::move(names)}}.dump();
 }
 
-std::optional<std::vector<MachineId>> parse_machine_names(std::string_view body) {
+std::optional<std::vector<MachineId>> parse_machine_ids(std::string_view body) {
     return guarded(body, [](const Json& j) {
         std::vector<MachineId> out;
         for (const auto& e : need(j, "werven")) out.emplace_back(e.get<std::string>());
--- a/src/wire/json_api.h
+++ b/src/wire/json_api.h
@@ -54,15 +54,26 @@
 /// Reads a user's submission.
 [[nodiscard]] tl::expected<JobSpec, SubmissionError> parse_job(std::string_view body);
 /// The body of an answer that tells a user what is wrong.
-[[nodiscard]] std::string error_answer(std::string_view message);
+[[nodiscard]] std::string error_response_body(std::string_view message);
 Json spec_to_json(const JobSpec& s);
 std::optional<JobSpec> spec_from_json(const Json& j);
 bool valid_job_id(std::string_view id);
-std::string job_answer(const JobId& id, Phase phase, std::int64_t done = -1, std::int64_t running = -1);
+std::string job_response_body(const JobId& id, Phase phase, std::int64_t done = -1,
+                              std::int64_t running = -1);
 
 enum class TaskPhase : std::uint8_t { fetching, waiting, running, saving, ended };
-enum class ExitCause : std::uint8_t { none, done, halted, peers, alone, error, no_room, busy, unknown };
-const char* cause_name(ExitCause c);
+enum class ExitCause : std::uint8_t {
+    none,
+    done,
+    stopped,
+    gang_member_lost,
+    gang_wait_timed_out,
+    error,
+    no_capacity,
+    busy,
+    unknown
+};
+const char* exit_cause_name(ExitCause c);
 
 /// A task as its worker reports it.
 struct TaskStatus {
@@ -98,7 +109,7 @@
     bool spot = false;
     HeartbeatSequence sequence;
     FencingToken token;  // the highest that this worker has seen
-    std::optional<double> notice_s;
+    std::optional<double> spot_notice_s;
     std::vector<TaskStatus> tasks;
 };
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
@@ -122,9 +133,9 @@
     double cache_gb = 0, fetch_gb_per_s = 0.1, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
-std::optional<std::vector<MachineType>> parse_types(std::string_view body);
-Json types_to_json(const std::vector<MachineType>& types);
-std::optional<std::vector<MachineType>> types_from_json(const Json& j);
+std::optional<std::vector<MachineType>> parse_machine_types(std::string_view body);
+Json machine_types_to_json(const std::vector<MachineType>& types);
+std::optional<std::vector<MachineType>> machine_types_from_json(const Json& j);
 
 enum class MachinePhase : std::uint8_t { booting, running, failed };
 struct ListedMachine {
@@ -136,12 +147,12 @@
 };
 struct MachinePage {
     std::vector<ListedMachine> machines;
-    bool more = false;
+    bool has_more = false;
 };
 std::optional<MachinePage> parse_machine_page(std::string_view body);
-std::string rent_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                      std::uint32_t count);
-std::string return_body(const std::vector<MachineId>& machines);
-std::optional<std::vector<MachineId>> parse_machine_names(std::string_view body);
+std::string provision_request_body(const std::string& request, const std::string& type,
+                                   const std::string& zone, bool spot, std::uint32_t count);
+std::string terminate_request_body(const std::vector<MachineId>& machines);
+std::optional<std::vector<MachineId>> parse_machine_ids(std::string_view body);
 
 }  // namespace zincdyke::wire
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -240,7 +240,7 @@
     a(m.machine);
     a(m.job_class);
     a(m.rank);
-    a(m.save_ms);
+    a(m.max_save_ms);
     a(m.job);
 }
 
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -110,12 +110,12 @@
     std::vector<MachineId> machines;
 };
 /// A machine reserved for a class of jobs that cannot wait for a boot. Tasks of lower rank that save within
-/// `save_ms` may use it meanwhile, and are preempted for that class.
+/// `max_save_ms` may use it meanwhile, and are preempted for that class.
 struct ReservedMachine {
     MachineId machine;
     std::string job_class;
     Rank rank = Rank::standard;
-    std::uint32_t save_ms = 0;
+    std::uint32_t max_save_ms = 0;
     JobId job;  // not empty: reserved for this one alone
 };
 /// Autoscaler to the machines' leaders: replaces all earlier reservations.
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -85,7 +85,8 @@
 bool CommandSender::should_request_heartbeat(const MachineId& id, const Machine& machine, Term term) const {
     const AgentLink& link = machine.link;
     const SteadyTime now = env_.now();
-    const Duration time_to_next_heartbeat = link.last_received() + seconds(settings_.report_s) - now;
+    const Duration time_to_next_heartbeat =
+        link.last_received() + seconds(settings_.heartbeat_interval_s) - now;
     const Duration min_wait =
         has_unsent_service_start(id) ? min_heartbeat_wait_for_service : min_heartbeat_wait;
     const Duration interval = seconds(settings_.lease_s * heartbeat_request_interval_lease_fraction);
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -99,7 +99,7 @@
 // an ended task or no tasks while tasks are pending. A command that misses the response has to wait for the
 // machine's next heartbeat, which leaves the machine idle in between.
 bool HeartbeatHandler::should_delay_response(const Machine& machine, const wire::Heartbeat& heartbeat) const {
-    if (heartbeat.notice_s || !availability_.is_schedulable(heartbeat.machine, machine) ||
+    if (heartbeat.spot_notice_s || !availability_.is_schedulable(heartbeat.machine, machine) ||
         !state_cache_.has_pending_tasks())
         return false;
     return heartbeat.tasks.empty() ||
--- a/src/workers/lease_monitor.cpp
+++ b/src/workers/lease_monitor.cpp
@@ -36,7 +36,8 @@
     const Duration lease = seconds(settings_.lease_s);
     // Maximum time without any heartbeat from a shard. Longer than chance gaps between the heartbeats of
     // several machines.
-    const Duration max_silence = seconds(std::max(settings_.report_s * 1.75, settings_.lease_s * 0.3));
+    const Duration max_silence =
+        seconds(std::max(settings_.heartbeat_interval_s * 1.75, settings_.lease_s * 0.3));
     std::map<std::uint32_t, std::size_t> reachable_machine_counts;
     for (const auto& [id, machine] : registry_)
         if (now - machine.link.last_received() < lease) ++reachable_machine_counts[state_cache_.shard_of(id)];
--- a/src/workers/machine_registry.cpp
+++ b/src/workers/machine_registry.cpp
@@ -10,10 +10,10 @@
     zone = heartbeat.zone;
     spot = heartbeat.spot;
     address = heartbeat.address;
-    if (heartbeat.notice_s && !spot_notice_s)
+    if (heartbeat.spot_notice_s && !spot_notice_s)
         log::info("event=spot_notice machine={} seconds={:.1f} tasks={}", heartbeat.machine.value(),
-                  *heartbeat.notice_s, heartbeat.tasks.size());
-    spot_notice_s = heartbeat.notice_s;
+                  *heartbeat.spot_notice_s, heartbeat.tasks.size());
+    spot_notice_s = heartbeat.spot_notice_s;
     cached_capacity.free.reset();
     active_tasks.clear();
     ended_attempts.clear();
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -116,7 +116,7 @@
     const auto waited_ms = static_cast<double>(env_.wall().value() - other.submitted.value());
     const bool is_older =
         waited_ms > precedence_wait_s * 1000 &&
-        sched::has_precedence(other, job, precedence_min_age_gap_s + settings_.skew_ms / 500);
+        sched::has_precedence(other, job, precedence_min_age_gap_s + settings_.max_clock_skew_ms / 500);
     return is_older && !sched::has_fewer_types(job.spec, other.spec, types);
 }
 
--- a/src/workers/reserved_machines.cpp
+++ b/src/workers/reserved_machines.cpp
@@ -5,7 +5,7 @@
 void ReservedMachines::on_update(const wire::ReservationUpdate& update) {
     if (update.is_first) reservations_.clear();
     for (const auto& machine : update.machines)
-        reservations_[machine.machine] = {machine.job_class, machine.rank, machine.save_ms / 1000.0,
+        reservations_[machine.machine] = {machine.job_class, machine.rank, machine.max_save_ms / 1000.0,
                                           machine.job};
     updated_at_ = env_.now();
 }
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -104,8 +104,8 @@
     // After a spot notice, tasks that can save a checkpoint and service replicas are stopped as late as the
     // notice allows. Other tasks keep running because they may finish in time.
     const bool can_move = job.spec.checkpoint_s > 0 || job.spec.is_service();
-    if (heartbeat.notice_s && can_move && status.phase == wire::TaskPhase::running &&
-        *heartbeat.notice_s < job.spec.save_s + 2.5 * settings_.report_s)
+    if (heartbeat.spot_notice_s && can_move && status.phase == wire::TaskPhase::running &&
+        *heartbeat.spot_notice_s < job.spec.save_s + 2.5 * settings_.heartbeat_interval_s)
         return stop_with_grace;
     return std::nullopt;
 }
@@ -123,7 +123,7 @@
     // An older heartbeat may arrive late, after the same attempt has been started again in a new agent epoch.
     if (heartbeat.token.term != term) return;
     if (status.cause == wire::ExitCause::error) cordons_.on_task_failed(id, job);
-    if (status.cause == wire::ExitCause::no_room || status.cause == wire::ExitCause::unknown)
+    if (status.cause == wire::ExitCause::no_capacity || status.cause == wire::ExitCause::unknown)
         cordons_.cordon(id, rejected_task_cordon);
     committer_.commit_release(status.task, status.attempt, id, release_reason(status.cause));
 }
@@ -135,7 +135,7 @@
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
         return ReleaseReason::start_not_acknowledged;
-    if (job.cancelled || heartbeat.notice_s || has_gang_failed(job)) return ReleaseReason::never_started;
+    if (job.cancelled || heartbeat.spot_notice_s || has_gang_failed(job)) return ReleaseReason::never_started;
     return std::nullopt;
 }
 
--- a/tests/capacity_tracker_test.cpp
+++ b/tests/capacity_tracker_test.cpp
@@ -21,12 +21,12 @@
         type.name = "t";
         type.capacity = {8000, 0, 8000};
         type.zones = {"a"};
-        cache_.apply({keys::machine_types, wire::types_to_json({type}), Revision{1}});
+        cache_.apply({keys::machine_types, wire::machine_types_to_json({type}), Revision{1}});
         machine().type = "t";
     }
     static Settings small_settings() {
         Settings settings;
-        settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
+        settings.store_limits.value_kb = settings.strictest_limits.value_kb = 4;
         return settings;
     }
     Machine& machine() { return registry_.find_or_add(id_); }
--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -36,14 +36,14 @@
         Settings settings;
         settings.node = NodeName("n0");
         settings.seeds = {Seed{NodeName("n1"), "a", "10.0.0.2:1"}};
-        settings.size = 2;
-        settings.state = "store";
+        settings.controller_count = 2;
+        settings.store_address = "store";
         settings.lease_s = 10;
-        settings.state_rps = 200;
-        settings.state_limits.value_kb = 8;
-        settings.state_limits.write_rps = 100;
-        settings.state_limits.txn_ops = 8;
-        settings.strictest_limits = settings.state_limits;
+        settings.store_rps = 200;
+        settings.store_limits.value_kb = 8;
+        settings.store_limits.write_rps = 100;
+        settings.store_limits.txn_ops = 8;
+        settings.strictest_limits = settings.store_limits;
         return settings;
     }
     void put_session(const std::string& node, std::uint64_t revision) {
--- a/tests/page_layout_test.cpp
+++ b/tests/page_layout_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(PageLayout, SizeFollowsTheLargestValue) {
     const auto size_at = [](double value_kb) {
-        StateLimits limits;
+        StoreLimits limits;
         limits.value_kb = value_kb;
         return page_size_for(limits);
     };
--- a/tests/request_budget_test.cpp
+++ b/tests/request_budget_test.cpp
@@ -46,8 +46,8 @@
 class RequestBudgetTest : public ::testing::Test {
   protected:
     RequestBudgetTest() {
-        settings.size = 2;
-        settings.state_rps = 84;  // a twentieth is left over: 39.9 a second for one controller of two
+        settings.controller_count = 2;
+        settings.store_rps = 84;  // a twentieth is left over: 39.9 a second for one controller of two
         settings.strictest_limits.write_rps = 22;  // 10.45 a second
     }
     std::size_t take_all(RequestBudget& budget, RequestPriority priority, double writes) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 TEST(Settings, ErrorNamesTheMissingOrInvalidKey) {
-    EXPECT_EQ(parse_settings(valid_settings).state_limits.txn_ops, 8U);
+    EXPECT_EQ(parse_settings(valid_settings).store_limits.txn_ops, 8U);
     std::string text = valid_settings;
     for (const char* line :
          {"node = \"n0\"", "lease_s = 10.0", "txn_ops = 8", "api_addr = \"10.0.0.1:8080\""}) {
@@ -40,8 +40,8 @@
     const Settings s = parse_settings(valid_settings + next);
     EXPECT_EQ(s.strictest_limits.write_rps, 18);
     EXPECT_EQ(s.strictest_limits.value_kb, 8);
-    EXPECT_EQ(s.strictest_limits.conditions(), 8U);
-    EXPECT_EQ(s.state_limits.txn_ops, 8U);
+    EXPECT_EQ(s.strictest_limits.max_conditions(), 8U);
+    EXPECT_EQ(s.store_limits.txn_ops, 8U);
     EXPECT_EQ(parse_settings(valid_settings).strictest_limits.write_rps, 25);
     for (const auto& [line, wrong] :
          {std::pair{"txn_ops = 2", "txn_ops = 1"}, std::pair{"value_kb = 16.0", "value_kb = \"x\""},
@@ -68,10 +68,10 @@
             s.max_sockets = sockets;
             s.seeds.assign(peers, Seed{NodeName("n9"), "a", "10.0.0.9:1"});
             const auto share = s.sockets();
-            for (const std::size_t n : {share.state, share.cloud, share.workers, share.server})
+            for (const std::size_t n : {share.store, share.cloud, share.workers, share.server})
                 EXPECT_GE(n, 2U);
             if (sockets >= 900) {
-                EXPECT_LE(share.state + share.cloud + share.workers + share.peers + share.server, sockets);
+                EXPECT_LE(share.store + share.cloud + share.workers + share.peers + share.server, sockets);
             }
         }
     // All workers of the largest deployment known may come to one controller.
--- a/tests/start_tracker_test.cpp
+++ b/tests/start_tracker_test.cpp
@@ -14,7 +14,7 @@
     StartTrackerTest() { job_.spec.job_class = "batch"; }
     static Settings small_settings() {
         Settings settings;
-        settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
+        settings.store_limits.value_kb = settings.strictest_limits.value_kb = 4;
         return settings;
     }
     void observe(wire::TaskPhase phase) {
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -25,7 +25,7 @@
                          Revision{deployment.store.data.at(key).revision}};
     };
     zincdyke::Settings settings;
-    settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
+    settings.store_limits.value_kb = settings.strictest_limits.value_kb = 4;
     FakeStateObserver observer;
     zincdyke::StateCache m(settings, observer);
     m.apply(item(page));
@@ -48,7 +48,7 @@
     const KeyUpdate item{job, deployment.store.data.at(job).value,
                          Revision{deployment.store.data.at(job).revision}};
     zincdyke::Settings settings;
-    settings.state_limits.value_kb = settings.strictest_limits.value_kb = 4;
+    settings.store_limits.value_kb = settings.strictest_limits.value_kb = 4;
     FakeStateObserver observer;
     zincdyke::StateCache m(settings, observer);
     m.apply(item);
--- a/tests/transaction_builder_test.cpp
+++ b/tests/transaction_builder_test.cpp
@@ -18,8 +18,8 @@
   protected:
     TransactionBuilderTest() {
         settings_.node = NodeName("n0");
-        settings_.state_limits = {100, 4, 16};
-        settings_.strictest_limits = settings_.state_limits;
+        settings_.store_limits = {100, 4, 16};
+        settings_.strictest_limits = settings_.store_limits;
         Team free{TeamName("free")}, limited{TeamName("limited")};
         limited.cpu_max = 2000;
         settings_.teams = {{free.name, free}, {limited.name, limited}};
@@ -217,7 +217,7 @@
 }
 
 TEST_F(TransactionBuilderTest, TermsThatFindNoPlaceAmongTheConditionsAreLeftOver) {
-    settings_.size = 64;
+    settings_.controller_count = 64;
     settings_.strictest_limits.txn_ops = 2;  // eight conditions
     job_.spec.tasks = 40;
     load();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -35,8 +35,8 @@
 const zincdyke::Settings& limits(double value_kb, double next_value_kb) {
     static std::deque<zincdyke::Settings> kept;
     zincdyke::Settings& settings = kept.emplace_back();
-    settings.size = 3;
-    settings.state_limits = {40, value_kb, 8};
+    settings.controller_count = 3;
+    settings.store_limits = {40, value_kb, 8};
     settings.strictest_limits = {40, std::min(value_kb, next_value_kb), 4};
     return settings;
 }
