--- a/src/base/env.h
+++ b/src/base/env.h
@@ -1,4 +1,4 @@
-/// What a node may ask of the world. The epoll loop implements it for real, the tests in memory.
+/// The interface between a controller and its environment: clocks, timers, network and randomness.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -11,18 +11,17 @@
 
 namespace zincdyke {
 
-/// A request as it is sent or received; `path` includes the query.
+/// An HTTP request; `path` includes the query string.
 struct HttpRequest {
     std::string method, path, body;
 };
 
-/// An answer to a request. Bodies are JSON.
+/// An HTTP response; the body is JSON.
 struct HttpResponse {
-    /// The HTTP status. 0: no answer came, and what was asked may or may not have been done.
+    /// The HTTP status; 0 if no response was received, so that the request may or may not have been executed.
     int status = 0;
     std::string body;
-    /// Seconds after which the client should ask again, as the Retry-After header tells it; nothing or less
-    /// than 0: no such header.
+    /// Value of the Retry-After header, in seconds; if empty or negative, the header is omitted.
     std::optional<int> retry_after_s = std::nullopt;
 
     static HttpResponse ok(std::string body) { return {200, std::move(body)}; }
@@ -30,33 +29,36 @@
     static HttpResponse bad_request(std::string body = "{}") { return {400, std::move(body)}; }
     static HttpResponse not_found(std::string body) { return {404, std::move(body)}; }
     static HttpResponse method_not_allowed(std::string body = "{}") { return {405, std::move(body)}; }
-    /// 421: another node is the one to ask.
+    /// Status 421: the client must send the request to another controller.
     static HttpResponse misdirected(std::string body = "{}") { return {421, std::move(body)}; }
-    /// 422: well-formed, and can never be done.
+    /// Status 422: the request is well-formed, but can never be fulfilled.
     static HttpResponse unprocessable(std::string body) { return {422, std::move(body)}; }
     static HttpResponse service_unavailable(std::optional<int> retry_after_s = std::nullopt,
                                             std::string body = "{}") {
         return {503, std::move(body), retry_after_s};
     }
 };
-/// Takes the answer to one request.
+/// Callback that receives the response to one HTTP request.
 using Reply = std::function<void(HttpResponse)>;
 
-/// Clocks, timers, HTTP, peer links and randomness. Everything runs on the one event loop: callbacks are
-/// never called from within the call that was given them.
+/// Clocks, timers, HTTP requests, messages to peers and random numbers. The epoll event loop implements it in
+/// production, and an in-memory simulation in tests. All callbacks run on the event-loop thread, and never
+/// before the call that registered them has returned.
 class Env {
   public:
     using TimerId = std::uint64_t;
     virtual ~Env() = default;
+    /// Returns the current time of the monotonic clock.
     virtual SteadyTime now() = 0;
+    /// Returns the current time of day.
     virtual WallTime wall() = 0;
-    /// Calls `fn` once, `delay` from now.
+    /// Calls `fn` once after `delay`. The returned id can be passed to `cancel`.
     virtual TimerId after(Duration delay, std::function<void()> fn) = 0;
-    /// Does nothing if the timer has fired or does not exist.
+    /// Cancels a timer; does nothing if the timer has already fired or does not exist.
     virtual void cancel(TimerId id) = 0;
-    /// Sends a request. `done` is called exactly once, with status 0 when no answer came in time.
+    /// Sends an HTTP request. `done` is called exactly once, with status 0 if no response arrives in time.
     virtual void http(const std::string& address, HttpRequest request, Duration timeout, Reply done) = 0;
-    /// Best effort, in order while a connection lasts.
+    /// Sends an encoded message to a peer. It may be lost; messages of one connection arrive in order.
     virtual void send_peer(const NodeName& to, std::string message) = 0;
     virtual std::mt19937_64& rng() = 0;
 };
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -10,71 +10,74 @@
 
 namespace zincdyke {
 namespace {
-// A job's end takes two changes in one transaction: its record goes and its final state comes.
-constexpr double least_txn_ops = 2;
+// Closing a job takes two writes in one transaction: its record is deleted and its final state is stored.
+constexpr double min_txn_ops = 2;
 
-// The value under `key` is not `allowed`, or there is none.
-[[noreturn]] void reject(const toml::table& root, const std::string& key, const std::string& allowed) {
+// Throws a SettingsError for `key`, which is missing or has an invalid value. `rule` describes the valid
+// values.
+[[noreturn]] void reject(const toml::table& root, const std::string& key, const std::string& rule) {
     const auto code =
         root.at_path(key) ? SettingsError::Code::invalid_value : SettingsError::Code::missing_key;
-    throw SettingsError(code, key, "setting '" + key + "': " + allowed);
+    throw SettingsError(code, key, "setting '" + key + "': " + rule);
 }
 
 std::string text_at(const toml::table& root, const std::string& key, bool may_be_empty = false) {
-    auto v = root.at_path(key).value<std::string>();
-    if (!root.at_path(key).is_string() || (v->empty() && !may_be_empty))
+    auto text = root.at_path(key).value<std::string>();
+    if (!root.at_path(key).is_string() || (text->empty() && !may_be_empty))
         reject(root, key, "must be a non-empty string");
-    return *v;
+    return *text;
 }
 
-double number_at(const toml::table& root, const std::string& key, double low, double high) {
+double number_at(const toml::table& root, const std::string& key, double min, double max) {
     auto node = root.at_path(key);
-    auto v = node.value<double>();
-    const bool numeric = node.is_integer() || node.is_floating_point();
-    if (!numeric || !v || !std::isfinite(*v) || *v < low || *v > high) {
-        std::ostringstream s;
-        s << "must be a number from " << low << " to " << high;
-        reject(root, key, s.str());
+    auto number = node.value<double>();
+    const bool is_numeric = node.is_integer() || node.is_floating_point();
+    if (!is_numeric || !number || !std::isfinite(*number) || *number < min || *number > max) {
+        std::ostringstream rule;
+        rule << "must be a number from " << min << " to " << max;
+        reject(root, key, rule.str());
     }
-    return *v;
+    return *number;
 }
 
-std::uint32_t count_at(const toml::table& root, const std::string& key, double low, double high) {
-    double v = number_at(root, key, low, high);
-    if (v != std::floor(v)) reject(root, key, "must be a whole number");
-    return static_cast<std::uint32_t>(v);
+std::uint32_t count_at(const toml::table& root, const std::string& key, double min, double max) {
+    double number = number_at(root, key, min, max);
+    if (number != std::floor(number)) reject(root, key, "must be a whole number");
+    return static_cast<std::uint32_t>(number);
 }
 
 std::string address_at(const toml::table& root, const std::string& key) {
-    std::string a = text_at(root, key);
-    auto colon = a.rfind(':');
-    in_addr ip{};
-    bool ok = colon != std::string::npos && inet_pton(AF_INET, a.substr(0, colon).c_str(), &ip) == 1;
-    std::string port = ok ? a.substr(colon + 1) : "";
+    std::string address = text_at(root, key);
+    auto colon = address.rfind(':');
+    in_addr parsed_ip{};
+    bool ok =
+        colon != std::string::npos && inet_pton(AF_INET, address.substr(0, colon).c_str(), &parsed_ip) == 1;
+    std::string port = ok ? address.substr(colon + 1) : "";
     ok = ok && !port.empty() && port.size() <= 5 && std::all_of(port.begin(), port.end(), ::isdigit) &&
          std::stoi(port) > 0 && std::stoi(port) < 65536;
     if (!ok) reject(root, key, "must be an IPv4 address with a port, such as 10.0.0.1:8080");
-    return a;
+    return address;
 }
 
-std::int64_t milli(double v) { return static_cast<std::int64_t>(std::llround(v * 1000)); }
+std::int64_t to_thousandths(double amount) { return static_cast<std::int64_t>(std::llround(amount * 1000)); }
 
-// Calls fn for each table of an array of tables; a missing array counts as empty.
+// Calls `fn` for each table of the array at `key`; a missing array is treated as empty. Errors in a table are
+// rethrown with the full key.
 template <class Fn>
-void each_table(const toml::table& root, const std::string& key, Fn fn) {
+void for_each_table(const toml::table& root, const std::string& key, Fn fn) {
     auto node = root.at_path(key);
     if (!node) return;
-    const auto* arr = node.as_array();
-    if (arr == nullptr) reject(root, key, "must be an array of tables");
+    const auto* tables = node.as_array();
+    if (tables == nullptr) reject(root, key, "must be an array of tables");
     std::size_t i = 0;
-    for (const auto& e : *arr) {
-        const auto* t = e.as_table();
+    for (const auto& element : *tables) {
+        const auto* table = element.as_table();
         std::string name = key + "[" + std::to_string(i++) + "]";
-        if (t == nullptr) reject(root, name, "must be a table");
+        if (table == nullptr) reject(root, name, "must be a table");
         try {
-            fn(*t);
-        } catch (const SettingsError& err) {
-            throw SettingsError(err.code(), name + "." + err.key(), "in " + name + ": " + err.what());
+            fn(*table);
+        } catch (const SettingsError& error) {
+            throw SettingsError(error.code(), name + "." + error.key(), "in " + name + ": " + error.what());
         }
     }
 }
@@ -82,10 +85,10 @@
 toml::table parse_toml(const std::string& text) {
     try {
         return toml::parse(text);
-    } catch (const toml::parse_error& e) {
-        std::ostringstream s;
-        s << "not valid TOML: " << e.description() << " at line " << e.source().begin.line;
-        throw SettingsError(SettingsError::Code::not_toml, "", s.str());
+    } catch (const toml::parse_error& error) {
+        std::ostringstream message;
+        message << "not valid TOML: " << error.description() << " at line " << error.source().begin.line;
+        throw SettingsError(SettingsError::Code::not_toml, "", message.str());
     }
 }
 
@@ -101,113 +104,114 @@
     return zones;
 }
 
-Team team_from(const toml::table& t) {
+Team team_from(const toml::table& table) {
     Team team;
-    team.name = TeamName(text_at(t, "name"));
-    team.cpu = milli(number_at(t, "cpus", 0, 1e9));
-    team.cpu_max = milli(number_at(t, "cpus_max", 0, 1e9));
-    team.gpu = milli(number_at(t, "gpus", 0, 1e9));
-    team.gpu_max = milli(number_at(t, "gpus_max", 0, 1e9));
+    team.name = TeamName(text_at(table, "name"));
+    team.cpu = to_thousandths(number_at(table, "cpus", 0, 1e9));
+    team.cpu_max = to_thousandths(number_at(table, "cpus_max", 0, 1e9));
+    team.gpu = to_thousandths(number_at(table, "gpus", 0, 1e9));
+    team.gpu_max = to_thousandths(number_at(table, "gpus_max", 0, 1e9));
     return team;
 }
 
-Objective objective_from(const toml::table& t) {
-    Objective o;
-    o.kind = text_at(t, "kind");
-    o.job_class = t.contains("class") ? text_at(t, "class", true) : "";
-    o.target_s = t.contains("within_s") ? number_at(t, "within_s", 0, 1e9) : 0;
-    o.target_share = t.contains("share") ? number_at(t, "share", 0, 1) : 0;
-    return o;
+Objective objective_from(const toml::table& table) {
+    Objective objective;
+    objective.kind = text_at(table, "kind");
+    objective.job_class = table.contains("class") ? text_at(table, "class", true) : "";
+    objective.target_s = table.contains("within_s") ? number_at(table, "within_s", 0, 1e9) : 0;
+    objective.target_share = table.contains("share") ? number_at(table, "share", 0, 1) : 0;
+    return objective;
 }
 
 StoreLimits store_limits_at(const toml::table& root, const std::string& key) {
     StoreLimits limits;
     limits.write_rps = number_at(root, key + ".write_rps", 1, 1e6);
     limits.value_kb = number_at(root, key + ".value_kb", 2, 64);
-    limits.txn_ops = count_at(root, key + ".txn_ops", least_txn_ops, 10000);
+    limits.txn_ops = count_at(root, key + ".txn_ops", min_txn_ops, 10000);
     return limits;
 }
 
-// What the platform says of workers, state service, cloud and this machine.
-void read_platform_limits(const toml::table& root, Settings& s) {
-    s.heartbeat_interval_s = number_at(root, "params.workers.report_s", 0.1, 3600);
-    s.lease_s = number_at(root, "params.workers.lease_s", 1, 36000);
-    s.gang_wait_s = number_at(root, "params.workers.gang_wait_s", 0, 36000);
-    s.gang_peer_timeout_s = number_at(root, "params.workers.gang_peer_s", 0, 36000);
-    s.cancel_s = number_at(root, "params.workers.cancel_s", 1, 36000);
-    s.store_rps = number_at(root, "params.state.rps", 1, 1e6);
-    s.store_limits = store_limits_at(root, "params.state");
-    s.strictest_limits = s.store_limits;
+// Reads the limits that the platform sets for workers, key-value store, cloud and this machine.
+void read_platform_limits(const toml::table& root, Settings& settings) {
+    settings.heartbeat_interval_s = number_at(root, "params.workers.report_s", 0.1, 3600);
+    settings.lease_s = number_at(root, "params.workers.lease_s", 1, 36000);
+    settings.gang_wait_s = number_at(root, "params.workers.gang_wait_s", 0, 36000);
+    settings.gang_peer_timeout_s = number_at(root, "params.workers.gang_peer_s", 0, 36000);
+    settings.cancel_s = number_at(root, "params.workers.cancel_s", 1, 36000);
+    settings.store_rps = number_at(root, "params.state.rps", 1, 1e6);
+    settings.store_limits = store_limits_at(root, "params.state");
+    settings.strictest_limits = settings.store_limits;
     if (root.at_path("params.state.next")) {
         const StoreLimits next = store_limits_at(root, "params.state.next");
-        s.strictest_limits.write_rps = std::min(s.store_limits.write_rps, next.write_rps);
-        s.strictest_limits.value_kb = std::min(s.store_limits.value_kb, next.value_kb);
-        s.strictest_limits.txn_ops = std::min(s.store_limits.txn_ops, next.txn_ops);
+        settings.strictest_limits.write_rps = std::min(settings.store_limits.write_rps, next.write_rps);
+        settings.strictest_limits.value_kb = std::min(settings.store_limits.value_kb, next.value_kb);
+        settings.strictest_limits.txn_ops = std::min(settings.store_limits.txn_ops, next.txn_ops);
     }
-    s.cloud_rps = number_at(root, "params.cloud.rps", 0.1, 1e6);
-    s.list_lag_s = number_at(root, "params.cloud.list_lag_s", 0, 3600);
-    s.core_share = number_at(root, "params.machine_limits.core_share", 0.001, 1024);
-    s.memory_mb = number_at(root, "params.machine_limits.memory_mb", 16, 1e7);
-    s.max_sockets = count_at(root, "params.machine_limits.max_sockets", 32, 1e7);
+    settings.cloud_rps = number_at(root, "params.cloud.rps", 0.1, 1e6);
+    settings.list_lag_s = number_at(root, "params.cloud.list_lag_s", 0, 3600);
+    settings.core_share = number_at(root, "params.machine_limits.core_share", 0.001, 1024);
+    settings.memory_mb = number_at(root, "params.machine_limits.memory_mb", 16, 1e7);
+    settings.max_sockets = count_at(root, "params.machine_limits.max_sockets", 32, 1e7);
 }
 
 }  // namespace
 
 Settings::Sockets Settings::sockets() const {
-    constexpr std::size_t own = 16;  // epoll, listeners, standard streams
-    const std::size_t all = max_sockets;
-    Sockets s;
-    s.store = std::clamp<std::size_t>(all / 8, 4, 16);
-    s.cloud = std::clamp<std::size_t>(all / 16, 2, 6);
-    s.workers = std::clamp<std::size_t>(all / 12, 4, 256);
-    // One each way; a peer that is back after a cut dials anew before the old links are seen to be dead.
-    s.peers = 5 * seeds.size() + 8;
-    const std::size_t taken = own + s.store + s.cloud + s.workers + s.peers;
-    s.server = all > taken + 8 ? all - taken : 8;
-    return s;
+    constexpr std::size_t internal = 16;  // epoll descriptor, listening sockets, standard streams
+    const std::size_t total = max_sockets;
+    Sockets division;
+    division.store = std::clamp<std::size_t>(total / 8, 4, 16);
+    division.cloud = std::clamp<std::size_t>(total / 16, 2, 6);
+    division.workers = std::clamp<std::size_t>(total / 12, 4, 256);
+    // A peer has one link in each direction. After a network failure it may open new ones before the old ones
+    // are detected as broken.
+    division.peers = 5 * seeds.size() + 8;
+    const std::size_t used = internal + division.store + division.cloud + division.workers + division.peers;
+    division.server = total > used + 8 ? total - used : 8;
+    return division;
 }
 
 std::vector<NodeName> Settings::all_nodes() const {
     std::vector<NodeName> names{node};
-    for (const auto& s : seeds) names.push_back(s.node);
+    for (const auto& seed : seeds) names.push_back(seed.node);
     std::sort(names.begin(), names.end());
     return names;
 }
 
 Settings parse_settings(const std::string& text) {
     const toml::table root = parse_toml(text);
-    Settings s;
-    s.node = NodeName(text_at(root, "node"));
-    s.zone = text_at(root, "zone");
-    s.api_addr = address_at(root, "api_addr");
-    s.cluster_listen = address_at(root, "cluster_listen");
-    s.cloud_address = address_at(root, "outside.cloud");
-    s.store_address = address_at(root, "outside.state");
-    each_table(root, "seeds", [&](const toml::table& t) {
-        Seed seed{NodeName(text_at(t, "node")), text_at(t, "zone"), address_at(t, "address")};
-        // Some platforms list the node itself among its seeds.
-        if (seed.node != s.node) s.seeds.push_back(std::move(seed));
+    Settings settings;
+    settings.node = NodeName(text_at(root, "node"));
+    settings.zone = text_at(root, "zone");
+    settings.api_addr = address_at(root, "api_addr");
+    settings.cluster_listen = address_at(root, "cluster_listen");
+    settings.cloud_address = address_at(root, "outside.cloud");
+    settings.store_address = address_at(root, "outside.state");
+    for_each_table(root, "seeds", [&](const toml::table& table) {
+        Seed seed{NodeName(text_at(table, "node")), text_at(table, "zone"), address_at(table, "address")};
+        // The list of seeds may include this controller itself.
+        if (seed.node != settings.node) settings.seeds.push_back(std::move(seed));
     });
-    s.controller_count = count_at(root, "params.size", 1, 1000);
-    s.zones = zones_at(root, "params.zones");
-    s.max_clock_skew_ms = number_at(root, "params.skew_ms", 0, 1e7);
-    each_table(root, "params.teams", [&](const toml::table& t) {
-        const Team team = team_from(t);
-        s.teams[team.name] = team;
+    settings.controller_count = count_at(root, "params.size", 1, 1000);
+    settings.zones = zones_at(root, "params.zones");
+    settings.max_clock_skew_ms = number_at(root, "params.skew_ms", 0, 1e7);
+    for_each_table(root, "params.teams", [&](const toml::table& table) {
+        const Team team = team_from(table);
+        settings.teams[team.name] = team;
     });
-    each_table(root, "params.objectives",
-               [&](const toml::table& t) { s.objectives.push_back(objective_from(t)); });
-    read_platform_limits(root, s);
-    return s;
+    for_each_table(root, "params.objectives",
+                   [&](const toml::table& table) { settings.objectives.push_back(objective_from(table)); });
+    read_platform_limits(root, settings);
+    return settings;
 }
 
 Settings load_settings(const std::string& path) {
-    std::ifstream in(path);
-    if (!in)
+    std::ifstream file(path);
+    if (!file)
         throw SettingsError(SettingsError::Code::unreadable_file, "",
                             "cannot read settings file '" + path + "'");
     std::ostringstream text;
-    text << in.rdbuf();
+    text << file.rdbuf();
     return parse_settings(text.str());
 }
 
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,4 +1,4 @@
-/// The platform's settings file and what the program makes of it.
+/// Reading and validating the settings file that the platform provides.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,21 +11,21 @@
 
 namespace zincdyke {
 
-/// Why the settings cannot be used. `what()` is the line for the operator: it names the key and says what is
-/// allowed.
+/// Thrown if the settings file cannot be read or has a missing or invalid value. `what()` is the message for
+/// the operator: it names the key and the allowed values.
 class SettingsError : public std::runtime_error {
   public:
     enum class Code : std::uint8_t {
         unreadable_file,
         not_toml,
         missing_key,
-        invalid_value,  ///< Of the wrong type, out of range or not one of the allowed values.
+        invalid_value,  ///< The value has the wrong type or is not in the allowed range or set.
     };
     SettingsError(Code code, std::string key, const std::string& message)
         : std::runtime_error(message), code_(code), key_(std::move(key)) {}
 
     [[nodiscard]] Code code() const { return code_; }
-    /// The full key, such as "params.teams[0].cpus"; empty: the file as a whole.
+    /// The full key, such as "params.teams[0].cpus"; empty if the error concerns the whole file.
     [[nodiscard]] const std::string& key() const { return key_; }
 
   private:
@@ -33,29 +33,35 @@
     std::string key_;
 };
 
+/// Another controller of the deployment, as listed in the settings.
 struct Seed {
     NodeName node;
     std::string zone, address;
 };
+/// A team and its quota: guaranteed amounts of CPU and GPU and their limits, all in thousandths. A limit of 0
+/// means that there is none.
 struct Team {
     TeamName name;
-    std::int64_t cpu = 0, cpu_max = 0, gpu = 0, gpu_max = 0;  // thousandths; a maximum of 0 means no limit
+    std::int64_t cpu = 0, cpu_max = 0, gpu = 0, gpu_max = 0;
     bool limited() const { return cpu_max > 0 || gpu_max > 0; }
 };
+/// A service-level objective for the jobs of one class: `target_share` of them should be started (kind
+/// "wait") or finished (kind "finished") within `target_s` seconds.
 struct Objective {
     std::string kind, job_class;
     double target_s = 0, target_share = 0;
 };
 
-// What the state service takes: changes a second, and of one transaction its changes and each value's size.
+/// Limits of the key-value store: writes per second, size of one value in KB and writes per transaction.
 struct StoreLimits {
     double write_rps = 0, value_kb = 0;
     std::uint32_t txn_ops = 1;
     std::size_t max_value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
-    // Conditions of one transaction.
+    /// The maximum number of conditions in one transaction.
     std::size_t max_conditions() const { return std::size_t{4} * txn_ops; }
 };
 
+/// The validated settings of one controller.
 struct Settings {
     NodeName node;
     std::string zone, api_addr, cluster_listen, cloud_address, store_address;
@@ -67,27 +73,29 @@
     std::vector<Objective> objectives;
     double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_timeout_s = 0, cancel_s = 0;
     double store_rps = 0;
-    StoreLimits store_limits;  // today's
-    // Today's or the announced next ones (`state.next`), whichever are lower: the state service changes to
-    // those without notice, so that what is written keeps to these. Equal to today's where none are
-    // announced.
+    StoreLimits store_limits;  ///< The limits currently in force.
+    /// The lower of each current limit and its announced successor (`params.state.next`); equal to the
+    /// current limits if no successor is announced. All writes respect these limits, because the key-value
+    /// store may switch to the announced limits at any time.
     StoreLimits strictest_limits;
     double cloud_rps = 0, list_lag_s = 0;
     double core_share = 1, memory_mb = 0;
     std::uint32_t max_sockets = 1024;
 
-    // How the sockets are shared out. What users and workers may hold is what our own calls leave.
+    /// Division of `max_sockets` by use. Outgoing connections and peer links come first; `server` is the
+    /// number of incoming connections, from users and workers, that the remaining sockets allow.
     struct Sockets {
         std::size_t store = 0, cloud = 0, workers = 0, peers = 0, server = 0;
     };
     Sockets sockets() const;
 
-    // All nodes of the deployment, this one included, in name order.
+    /// Returns the names of all controllers of the deployment, including this one, in name order.
     std::vector<NodeName> all_nodes() const;
 };
 
-/// Both throw SettingsError.
+/// Reads and validates the settings file at `path`. Throws SettingsError.
 Settings load_settings(const std::string& path);
+/// Parses and validates the TOML text of a settings file. Throws SettingsError.
 Settings parse_settings(const std::string& text);
 
 }  // namespace zincdyke
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,4 +1,4 @@
-/// Small types for ids, versions, amounts and times.
+/// Basic types for names, revisions, resource amounts and times.
 #pragma once
 #include <chrono>
 #include <compare>
@@ -9,7 +9,8 @@
 
 namespace zincdyke {
 
-/// A string that cannot be mistaken for another kind of name.
+/// A name of one kind, such as a job id. Each tag type makes a distinct type, so that the compiler rejects a
+/// name of another kind.
 template <class Tag>
 class Name {
   public:
@@ -27,7 +28,8 @@
 using NodeName = Name<struct NodeTag>;
 using TeamName = Name<struct TeamTag>;
 
-/// A revision of the key-value store: a key's version, a leader's term, or a point in the store's history.
+/// A revision number of the key-value store, which increases with every commit. It also serves as the version
+/// of a key and as a leader's term.
 class Revision {
   public:
     constexpr Revision() = default;
@@ -38,29 +40,34 @@
   private:
     std::uint64_t value_ = 0;
 };
-/// The revision at which a leader acquired its shard: the upper part of the fencing token that entitles it to
-/// command the shard's workers.
+/// The store revision at which a leader acquired its shard. It is the upper part of the fencing token that
+/// the leader sends with its commands to workers.
 using Term = Revision;
 
+/// Number of an attempt to run a task; each restart of the task gets a higher one.
 using Attempt = std::uint32_t;
+/// Index of a task within its job.
 using TaskIndex = std::uint32_t;
 
+/// Identifies a task by its job and its index in that job.
 struct TaskRef {
     JobId job;
     TaskIndex task = 0;
     auto operator<=>(const TaskRef&) const = default;
+    /// Returns "JOB/INDEX", the name of the task in the workers' protocol.
     std::string str() const { return job.value() + "/" + std::to_string(task); }
 };
 
 using Duration = std::chrono::microseconds;
+/// Clock type of SteadyTime, with the members that std::chrono requires.
 struct SteadyTag {
     using rep = std::int64_t;
     using period = std::micro;
     using duration = Duration;
 };
-/// A moment of this node's steady clock.
+/// A time point of this node's monotonic clock.
 using SteadyTime = std::chrono::time_point<SteadyTag, Duration>;
-/// The time of day, in milliseconds since 1970 (UTC).
+/// A time of day, in milliseconds since the Unix epoch.
 class WallTime {
   public:
     constexpr WallTime() = default;
@@ -72,34 +79,37 @@
     std::int64_t value_ = 0;
 };
 
-inline Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
-inline Duration millis(std::int64_t ms) { return Duration(ms * 1000); }
-inline double to_seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+inline Duration seconds(double count) { return Duration(static_cast<std::int64_t>(count * 1e6)); }
+inline Duration millis(std::int64_t count) { return Duration(count * 1000); }
+inline double to_seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-/// What a task takes, or a machine has: thousandths of a CPU, of a GPU and of a GB.
+/// Resources that a task requires or a machine has, in thousandths of a CPU, of a GPU and of a GB of memory.
 struct Resources {
     std::int64_t cpu = 0, gpu = 0, ram = 0;
     bool operator==(const Resources&) const = default;
-    Resources& operator+=(const Resources& o) {
-        cpu += o.cpu;
-        gpu += o.gpu;
-        ram += o.ram;
+    Resources& operator+=(const Resources& other) {
+        cpu += other.cpu;
+        gpu += other.gpu;
+        ram += other.ram;
         return *this;
     }
-    Resources& operator-=(const Resources& o) {
-        cpu -= o.cpu;
-        gpu -= o.gpu;
-        ram -= o.ram;
+    Resources& operator-=(const Resources& other) {
+        cpu -= other.cpu;
+        gpu -= other.gpu;
+        ram -= other.ram;
         return *this;
     }
-    bool covers(const Resources& need) const { return need.cpu <= cpu && need.gpu <= gpu && need.ram <= ram; }
+    /// Returns whether each amount is at least the required one.
+    bool covers(const Resources& required) const {
+        return required.cpu <= cpu && required.gpu <= gpu && required.ram <= ram;
+    }
 };
 
 }  // namespace zincdyke
 
 template <class Tag>
 struct std::hash<zincdyke::Name<Tag>> {
-    std::size_t operator()(const zincdyke::Name<Tag>& n) const noexcept {
-        return std::hash<std::string>()(n.value());
+    std::size_t operator()(const zincdyke::Name<Tag>& name) const noexcept {
+        return std::hash<std::string>()(name.value());
     }
 };
