--- a/src/cluster/cancellation_watermark.cpp
+++ b/src/cluster/cancellation_watermark.cpp
@@ -46,12 +46,12 @@
 wire::CancellationAck CancellationWatermark::acknowledgement_for(const NodeName& peer) const {
     wire::CancellationAck ack;
     ack.sender_epoch = process_epoch_;
-    ack.sent_stamp = to_timestamp(env_.now());
+    ack.sent_timestamp = to_timestamp(env_.now());
     ack.is_lagging = is_lagging();
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return ack;
     ack.echoed_epoch = found->second.process_epoch;
-    ack.echoed_stamp = found->second.latest_timestamp;
+    ack.echoed_timestamp = found->second.latest_timestamp;
     if (!ack.is_lagging && !found->second.is_lagging) return ack;
     for (const auto& [id, job] : state_cache_.jobs())
         if (job.cancelled) ack.cancelled.push_back(id);
@@ -67,13 +67,13 @@
         peer.process_epoch = ack.sender_epoch;
         peer.first_received_at = env_.now();
     }
-    peer.latest_timestamp = std::max(peer.latest_timestamp, ack.sent_stamp);
+    peer.latest_timestamp = std::max(peer.latest_timestamp, ack.sent_timestamp);
     peer.is_lagging = ack.is_lagging;
     for (const auto& id : ack.cancelled) state_cache_.mark_cancelled(id);
     // The echoed timestamp, not the arrival time, dates the acknowledgement, because a message may arrive
     // minutes late.
     if (!ack.is_complete || ack.echoed_epoch != process_epoch_) return;
-    peer.acknowledged_until = std::max(peer.acknowledged_until, from_timestamp(ack.echoed_stamp));
+    peer.acknowledged_until = std::max(peer.acknowledged_until, from_timestamp(ack.echoed_timestamp));
     advance_by_acknowledgements();
 }
 
--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -7,57 +7,63 @@
 namespace zincdyke::wire {
 namespace {
 
-// Amounts are rounded up for what is taken and down for what is there, so that sums never exceed a limit.
-std::int64_t milli_up(double v) { return static_cast<std::int64_t>(std::ceil(v * 1000 - 1e-6)); }
-std::int64_t milli_down(double v) { return static_cast<std::int64_t>(std::floor(v * 1000 + 1e-6)); }
+// Converts to thousandths. Required amounts are rounded up and available amounts are rounded down, so that
+// rounding never makes the tasks on a machine exceed its capacity.
+std::int64_t thousandths_rounded_up(double number) {
+    return static_cast<std::int64_t>(std::ceil(number * 1000 - 1e-6));
+}
+std::int64_t thousandths_rounded_down(double number) {
+    return static_cast<std::int64_t>(std::floor(number * 1000 + 1e-6));
+}
 
-const Json* find(const Json& j, const char* key) {
-    auto it = j.find(key);
-    return it == j.end() || it->is_null() ? nullptr : &*it;
+// Returns the field's value; nullptr if the field is missing or null.
+const Json* find(const Json& object, const char* key) {
+    auto it = object.find(key);
+    return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-// Thrown and caught within this file only.
-struct Bad {
+// Reports malformed input; thrown and caught only in this file.
+struct MalformedInput {
     std::string message, field = {};
     SubmissionError::Code code = SubmissionError::Code::invalid_field;
 };
 
-// "FIELD RULE", such as "uid is missing".
-Bad wrong_field(const char* field, const std::string& rule) {
+// Returns an error with the message "FIELD RULE", such as "uid is out of range".
+MalformedInput invalid_field(const char* field, const std::string& rule) {
     return {std::string(field) + " " + rule, field, SubmissionError::Code::invalid_field};
 }
-Bad missing_field(const char* field) {
+MalformedInput missing_field(const char* field) {
     return {std::string(field) + " is missing", field, SubmissionError::Code::missing_field};
 }
 
-const Json& need(const Json& j, const char* key) {
-    const Json* v = find(j, key);
-    if (v == nullptr) throw missing_field(key);
-    return *v;
+const Json& required(const Json& object, const char* key) {
+    const Json* value = find(object, key);
+    if (value == nullptr) throw missing_field(key);
+    return *value;
 }
-std::string text(const Json& j, const char* key, std::size_t most = 200) {
-    const Json& v = need(j, key);
-    if (!v.is_string() || v.get_ref<const std::string&>().empty() ||
-        v.get_ref<const std::string&>().size() > most)
-        throw wrong_field(key, "must be a string of 1 to " + std::to_string(most) + " bytes");
-    return v.get<std::string>();
+std::string text(const Json& object, const char* key, std::size_t max_bytes = 200) {
+    const Json& value = required(object, key);
+    if (!value.is_string() || value.get_ref<const std::string&>().empty() ||
+        value.get_ref<const std::string&>().size() > max_bytes)
+        throw invalid_field(key, "must be a string of 1 to " + std::to_string(max_bytes) + " bytes");
+    return value.get<std::string>();
 }
-double amount(const Json& v, const char* key, double most = 1e9) {
-    if (!v.is_number()) throw wrong_field(key, "must be a number");
-    double d = v.get<double>();
-    if (!std::isfinite(d) || d < 0 || d > most) throw wrong_field(key, "is out of range");
-    return d;
+double to_amount(const Json& value, const char* key, double max = 1e9) {
+    if (!value.is_number()) throw invalid_field(key, "must be a number");
+    double number = value.get<double>();
+    if (!std::isfinite(number) || number < 0 || number > max) throw invalid_field(key, "is out of range");
+    return number;
 }
-double amount(const Json& j, const char* key, bool) { return amount(need(j, key), key); }
-bool flag(const Json& j, const char* key) {
-    const Json& v = need(j, key);
-    if (!v.is_boolean()) throw wrong_field(key, "must be true or false");
-    return v.get<bool>();
+double amount(const Json& object, const char* key) { return to_amount(required(object, key), key); }
+bool flag(const Json& object, const char* key) {
+    const Json& value = required(object, key);
+    if (!value.is_boolean()) throw invalid_field(key, "must be true or false");
+    return value.get<bool>();
 }
-std::uint64_t count(const Json& j, const char* key) {
-    const Json& v = need(j, key);
-    if (!v.is_number_unsigned()) throw wrong_field(key, "must be a whole number");
-    return v.get<std::uint64_t>();
+std::uint64_t count(const Json& object, const char* key) {
+    const Json& value = required(object, key);
+    if (!value.is_number_unsigned()) throw invalid_field(key, "must be a whole number");
+    return value.get<std::uint64_t>();
 }
 
 constexpr const char* shape_names[] = {"batch", "group", "service"};
@@ -66,117 +72,122 @@
 constexpr const char* task_phase_names[] = {"fetching", "waiting", "running", "saving", "ended"};
 constexpr const char* cause_names[] = {"none",  "done", "halted", "peers",  "alone",
                                        "error", "full", "in_use", "unknown"};
-constexpr const char* verb_names[] = {"run", "halt", "clear"};
+constexpr const char* command_names[] = {"run", "halt", "clear"};
 
 template <std::size_t N>
-int index_of(const char* const (&names)[N], const std::string& s) {
+int index_of(const char* const (&names)[N], const std::string& name) {
     for (std::size_t i = 0; i < N; ++i)
-        if (s == names[i]) return static_cast<int>(i);
+        if (name == names[i]) return static_cast<int>(i);
     return -1;
 }
 
-JobSpec spec_of(const Json& j) {
-    if (!j.is_object()) throw Bad{"not an object", "", SubmissionError::Code::not_an_object};
-    JobSpec s;
-    s.id = JobId(text(j, "uid", 64));
-    if (!valid_job_id(s.id.value())) throw wrong_field("uid", "must look like job-000412");
-    s.job_class = text(j, "ilk");
-    s.team = TeamName(text(j, "crew"));
-    std::string shape = text(j, "shape");
+JobSpec spec_of(const Json& json) {
+    if (!json.is_object()) throw MalformedInput{"not an object", "", SubmissionError::Code::not_an_object};
+    JobSpec spec;
+    spec.id = JobId(text(json, "uid", 64));
+    if (!valid_job_id(spec.id.value())) throw invalid_field("uid", "must look like job-000412");
+    spec.job_class = text(json, "ilk");
+    spec.team = TeamName(text(json, "crew"));
+    std::string shape = text(json, "shape");
     int shape_index = index_of(shape_names, shape);
-    if (shape_index < 0) throw wrong_field("shape", "must be batch, group or service");
-    s.shape = static_cast<Shape>(shape_index);
-    int rank = index_of(rank_names, text(j, "rank"));
-    if (rank < 0) throw wrong_field("rank", "is not known");
-    s.rank = static_cast<Rank>(rank);
-    std::uint64_t tasks = count(j, "shards");
-    if (tasks < 1 || tasks > max_tasks) throw wrong_field("shards", "must be from 1 to 100000");
-    s.tasks = static_cast<TaskIndex>(tasks);
-    s.need = {milli_up(amount(j, "vcpus", true)), milli_up(amount(j, "gpus", true)),
-              milli_up(amount(j, "ram_gb", true))};
-    s.image = text(j, "cask");
-    s.image_gb = amount(j, "image_gb", true);
-    if (const Json* t = find(j, "breeds")) {
-        if (!t->is_array() || t->size() > 1000)
-            throw wrong_field("breeds", "must be a list of machine types");
-        s.types.emplace();
-        for (const auto& e : *t) {
-            if (!e.is_string()) throw wrong_field("breeds", "must be a list of machine types");
-            s.types->push_back(e.get<std::string>());
+    if (shape_index < 0) throw invalid_field("shape", "must be batch, group or service");
+    spec.shape = static_cast<Shape>(shape_index);
+    int rank_index = index_of(rank_names, text(json, "rank"));
+    if (rank_index < 0) throw invalid_field("rank", "is not known");
+    spec.rank = static_cast<Rank>(rank_index);
+    std::uint64_t task_count = count(json, "shards");
+    if (task_count < 1 || task_count > max_tasks) throw invalid_field("shards", "must be from 1 to 100000");
+    spec.tasks = static_cast<TaskIndex>(task_count);
+    spec.need = {thousandths_rounded_up(amount(json, "vcpus")), thousandths_rounded_up(amount(json, "gpus")),
+                 thousandths_rounded_up(amount(json, "ram_gb"))};
+    spec.image = text(json, "cask");
+    spec.image_gb = amount(json, "image_gb");
+    if (const Json* types = find(json, "breeds")) {
+        if (!types->is_array() || types->size() > 1000)
+            throw invalid_field("breeds", "must be a list of machine types");
+        spec.types.emplace();
+        for (const auto& type : *types) {
+            if (!type.is_string()) throw invalid_field("breeds", "must be a list of machine types");
+            spec.types->push_back(type.get<std::string>());
         }
     }
-    if (find(j, "field") != nullptr) s.zone = text(j, "field");
-    s.one_zone = flag(j, "one_zone");
-    s.spread = flag(j, "apart");
-    s.spot = flag(j, "loaners");
-    // Nobody can estimate how long a service runs.
-    if (!s.is_service() || find(j, "guess_s") != nullptr) s.estimate_s = amount(j, "guess_s", true);
-    s.checkpoint_s = amount(j, "mark_every_s", true);
-    s.save_s = amount(j, "stow_s", true);
-    if (const Json* d = find(j, "due_s")) s.deadline_s = amount(*d, "due_s");
-    return s;
+    if (find(json, "field") != nullptr) spec.zone = text(json, "field");
+    spec.one_zone = flag(json, "one_zone");
+    spec.spread = flag(json, "apart");
+    spec.spot = flag(json, "loaners");
+    // A service runs until it is cancelled, so that its run time may be omitted.
+    if (!spec.is_service() || find(json, "guess_s") != nullptr) spec.estimate_s = amount(json, "guess_s");
+    spec.checkpoint_s = amount(json, "mark_every_s");
+    spec.save_s = amount(json, "stow_s");
+    if (const Json* deadline = find(json, "due_s")) spec.deadline_s = to_amount(*deadline, "due_s");
+    return spec;
 }
 
-TaskRef task_ref(const std::string& s) {
-    auto slash = s.rfind('/');
-    if (slash == std::string::npos || slash + 1 == s.size() || s.size() - slash > 8)
-        throw Bad{"bad task name"};
-    std::uint32_t n = 0;
-    for (std::size_t i = slash + 1; i < s.size(); ++i) {
-        if (s[i] < '0' || s[i] > '9') throw Bad{"bad task name"};
-        n = n * 10 + static_cast<std::uint32_t>(s[i] - '0');
+// Parses a task name "JOB/INDEX".
+TaskRef task_ref(const std::string& name) {
+    auto slash = name.rfind('/');
+    if (slash == std::string::npos || slash + 1 == name.size() || name.size() - slash > 8)
+        throw MalformedInput{"bad task name"};
+    std::uint32_t index = 0;
+    for (std::size_t i = slash + 1; i < name.size(); ++i) {
+        if (name[i] < '0' || name[i] > '9') throw MalformedInput{"bad task name"};
+        index = index * 10 + static_cast<std::uint32_t>(name[i] - '0');
     }
-    return {JobId(s.substr(0, slash)), n};
+    return {JobId(name.substr(0, slash)), index};
 }
 
-// Parses without exceptions leaving this package: a peer's bad text is an answer, not a failure of ours.
+// Parses `body` and passes it to `fn`. Malformed input is returned as an error: no exception leaves this
+// package, because malformed input from another process is not a failure of this one.
 template <class Fn>
 auto parse_or_error(std::string_view body, Fn fn) -> tl::expected<decltype(fn(Json())), SubmissionError> {
     using Code = SubmissionError::Code;
-    Json j = Json::parse(body, nullptr, false);
-    if (j.is_discarded()) return tl::unexpected(SubmissionError{Code::not_json, "", "not JSON"});
+    Json json = Json::parse(body, nullptr, false);
+    if (json.is_discarded()) return tl::unexpected(SubmissionError{Code::not_json, "", "not JSON"});
     try {
-        return fn(j);
-    } catch (const Bad& b) {
-        return tl::unexpected(SubmissionError{b.code, b.field, b.message});
+        return fn(json);
+    } catch (const MalformedInput& error) {
+        return tl::unexpected(SubmissionError{error.code, error.field, error.message});
     } catch (const Json::exception&) {
         return tl::unexpected(SubmissionError{Code::invalid_field, "", "a field has the wrong type"});
     }
 }
 
+// Parses `body` and passes it to `fn`; nullopt if the input is malformed.
 template <class Fn>
-auto guarded(std::string_view body, Fn fn) -> std::optional<decltype(fn(Json()))> {
+auto parse_or_nullopt(std::string_view body, Fn fn) -> std::optional<decltype(fn(Json()))> {
     auto parsed = parse_or_error(body, fn);
     if (!parsed) return std::nullopt;
     return std::move(*parsed);
 }
 
-std::vector<MachineType> types_of(const Json& j) {
-    if (!j.is_object() || !need(j, "breeds").is_array()) throw Bad{"breeds must be a list"};
-    std::vector<MachineType> out;
-    for (const auto& e : j["breeds"]) {
-        MachineType t;
-        t.name = text(e, "sku");
-        t.capacity = {milli_down(amount(e, "vcpus", true)), milli_down(amount(e, "gpus", true)),
-                      milli_down(amount(e, "ram_gb", true))};
-        t.cache_gb = amount(e, "local_gb", true);
-        t.fetch_gb_per_s = std::max(0.001, amount(e, "fetch_gb_per_s", true));
-        t.price = amount(e, "hourly", true);
-        t.spot_price = amount(e, "low_price", true);
-        t.boot_s = amount(e, "boot_s", true);
-        for (const auto& z : need(e, "fields")) t.zones.push_back(z.get<std::string>());
-        out.push_back(std::move(t));
+std::vector<MachineType> machine_types_of(const Json& json) {
+    if (!json.is_object() || !required(json, "breeds").is_array())
+        throw MalformedInput{"breeds must be a list"};
+    std::vector<MachineType> types;
+    for (const auto& entry : json["breeds"]) {
+        MachineType type;
+        type.name = text(entry, "sku");
+        type.capacity = {thousandths_rounded_down(amount(entry, "vcpus")),
+                         thousandths_rounded_down(amount(entry, "gpus")),
+                         thousandths_rounded_down(amount(entry, "ram_gb"))};
+        type.cache_gb = amount(entry, "local_gb");
+        type.fetch_gb_per_s = std::max(0.001, amount(entry, "fetch_gb_per_s"));
+        type.price = amount(entry, "hourly");
+        type.spot_price = amount(entry, "low_price");
+        type.boot_s = amount(entry, "boot_s");
+        for (const auto& zone : required(entry, "fields")) type.zones.push_back(zone.get<std::string>());
+        types.push_back(std::move(type));
     }
-    return out;
+    return types;
 }
 
-double whole_gb(std::int64_t m) { return static_cast<double>(m) / 1000.0; }
+double from_thousandths(std::int64_t amount) { return static_cast<double>(amount) / 1000.0; }
 
 }  // namespace
 
 bool valid_job_id(std::string_view id) {
     return id.size() > 4 && id.size() <= 40 && id.substr(0, 4) == "job-" &&
-           std::all_of(id.begin() + 4, id.end(), [](char c) { return c >= '0' && c <= '9'; });
+           std::all_of(id.begin() + 4, id.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
 }
 
 tl::expected<JobSpec, SubmissionError> parse_job(std::string_view body) {
@@ -185,97 +196,100 @@
 
 std::string error_response_body(std::string_view message) { return Json{{"error", message}}.dump(); }
 
-std::optional<JobSpec> spec_from_json(const Json& j) {
+std::optional<JobSpec> spec_from_json(const Json& json) {
     try {
-        return spec_of(j);
-    } catch (const Bad&) {
+        return spec_of(json);
+    } catch (const MalformedInput&) {
     } catch (const Json::exception&) {
     }
     return std::nullopt;
 }
 
-Json spec_to_json(const JobSpec& s) {
-    Json j = {{"uid", s.id.value()},
-              {"ilk", s.job_class},
-              {"crew", s.team.value()},
-              {"shape", shape_names[static_cast<int>(s.shape)]},
-              {"rank", rank_names[static_cast<int>(s.rank)]},
-              {"shards", s.tasks},
-              {"vcpus", whole_gb(s.need.cpu)},
-              {"gpus", whole_gb(s.need.gpu)},
-              {"ram_gb", whole_gb(s.need.ram)},
-              {"cask", s.image},
-              {"image_gb", s.image_gb},
-              {"one_zone", s.one_zone},
-              {"apart", s.spread},
-              {"loaners", s.spot},
-              {"guess_s", s.estimate_s},
-              {"mark_every_s", s.checkpoint_s},
-              {"stow_s", s.save_s}};
-    if (s.types) j["breeds"] = *s.types;
-    if (s.zone) j["field"] = *s.zone;
-    if (s.deadline_s) j["due_s"] = *s.deadline_s;
-    return j;
+Json spec_to_json(const JobSpec& spec) {
+    Json json = {{"uid", spec.id.value()},
+                 {"ilk", spec.job_class},
+                 {"crew", spec.team.value()},
+                 {"shape", shape_names[static_cast<int>(spec.shape)]},
+                 {"rank", rank_names[static_cast<int>(spec.rank)]},
+                 {"shards", spec.tasks},
+                 {"vcpus", from_thousandths(spec.need.cpu)},
+                 {"gpus", from_thousandths(spec.need.gpu)},
+                 {"ram_gb", from_thousandths(spec.need.ram)},
+                 {"cask", spec.image},
+                 {"image_gb", spec.image_gb},
+                 {"one_zone", spec.one_zone},
+                 {"apart", spec.spread},
+                 {"loaners", spec.spot},
+                 {"guess_s", spec.estimate_s},
+                 {"mark_every_s", spec.checkpoint_s},
+                 {"stow_s", spec.save_s}};
+    if (spec.types) json["breeds"] = *spec.types;
+    if (spec.zone) json["field"] = *spec.zone;
+    if (spec.deadline_s) json["due_s"] = *spec.deadline_s;
+    return json;
 }
 
 std::string job_response_body(const JobId& id, Phase phase, std::int64_t done, std::int64_t running) {
-    Json j = {{"uid", id.value()}, {"phase", phase_names[static_cast<int>(phase)]}};
-    if (done >= 0) j["done"] = done;
-    if (running >= 0) j["running"] = running;
-    return j.dump();
+    Json json = {{"uid", id.value()}, {"phase", phase_names[static_cast<int>(phase)]}};
+    if (done >= 0) json["done"] = done;
+    if (running >= 0) json["running"] = running;
+    return json.dump();
 }
 
-const char* exit_cause_name(ExitCause c) { return cause_names[static_cast<int>(c)]; }
+const char* exit_cause_name(ExitCause cause) { return cause_names[static_cast<int>(cause)]; }
 
 std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
-    return guarded(body, [](const Json& j) {
-        if (!j.is_object()) throw Bad{"not an object"};
-        Heartbeat r;
-        r.machine = MachineId(text(j, "werf"));
-        r.address = text(j, "address");
-        r.type = text(j, "breed");
-        r.zone = text(j, "field");
-        r.spot = flag(j, "loaners");
-        r.sequence = {count(j, "tenure"), count(j, "tick")};
-        if (const Json* b = find(j, "baton")) {
-            if (!b->is_number_unsigned()) throw Bad{"baton"};
-            r.token = FencingToken::of(b->get<std::uint64_t>());
+    return parse_or_nullopt(body, [](const Json& json) {
+        if (!json.is_object()) throw MalformedInput{"not an object"};
+        Heartbeat heartbeat;
+        heartbeat.machine = MachineId(text(json, "werf"));
+        heartbeat.address = text(json, "address");
+        heartbeat.type = text(json, "breed");
+        heartbeat.zone = text(json, "field");
+        heartbeat.spot = flag(json, "loaners");
+        heartbeat.sequence = {count(json, "tenure"), count(json, "tick")};
+        if (const Json* token = find(json, "baton")) {
+            if (!token->is_number_unsigned()) throw MalformedInput{"baton"};
+            heartbeat.token = FencingToken::of(token->get<std::uint64_t>());
         }
-        if (const Json* n = find(j, "warning_s")) r.spot_notice_s = amount(*n, "warning_s");
-        for (const auto& e : need(j, "shards")) {
-            TaskStatus t;
-            t.task = task_ref(text(e, "shard"));
-            std::uint64_t attempt = count(e, "try");
-            if (attempt > std::numeric_limits<Attempt>::max()) throw Bad{"try"};
-            t.attempt = static_cast<Attempt>(attempt);
-            int phase = index_of(task_phase_names, text(e, "phase"));
-            if (phase < 0) throw Bad{"phase"};
-            t.phase = static_cast<TaskPhase>(phase);
-            if (t.phase == TaskPhase::ended) {
-                // A cause added later to the protocol still means that the task is over, and not done.
-                int cause = find(e, "cause") != nullptr ? index_of(cause_names, text(e, "cause")) : -1;
-                t.cause = cause > 0 ? static_cast<ExitCause>(cause) : ExitCause::unknown;
-                const Json* kept = find(e, "kept");
-                t.saved = kept != nullptr && kept->is_boolean() && kept->get<bool>();
+        if (const Json* notice = find(json, "warning_s"))
+            heartbeat.spot_notice_s = to_amount(*notice, "warning_s");
+        for (const auto& entry : required(json, "shards")) {
+            TaskStatus status;
+            status.task = task_ref(text(entry, "shard"));
+            std::uint64_t attempt = count(entry, "try");
+            if (attempt > std::numeric_limits<Attempt>::max()) throw MalformedInput{"try"};
+            status.attempt = static_cast<Attempt>(attempt);
+            int phase = index_of(task_phase_names, text(entry, "phase"));
+            if (phase < 0) throw MalformedInput{"phase"};
+            status.phase = static_cast<TaskPhase>(phase);
+            if (status.phase == TaskPhase::ended) {
+                // A cause unknown to this version still means that the task has ended, and has not succeeded.
+                int cause =
+                    find(entry, "cause") != nullptr ? index_of(cause_names, text(entry, "cause")) : -1;
+                status.cause = cause > 0 ? static_cast<ExitCause>(cause) : ExitCause::unknown;
+                const Json* saved = find(entry, "kept");
+                status.saved = saved != nullptr && saved->is_boolean() && saved->get<bool>();
             }
-            r.tasks.push_back(std::move(t));
+            heartbeat.tasks.push_back(std::move(status));
         }
-        return r;
+        return heartbeat;
     });
 }
 
-std::string encode_commands(FencingToken token, const std::vector<Command>& orders,
+std::string encode_commands(FencingToken token, const std::vector<Command>& commands,
                             std::optional<std::uint64_t> agent_epoch) {
     Json list = Json::array();
-    for (const auto& o : orders) {
-        Json e = {
-            {"verb", verb_names[static_cast<int>(o.kind)]}, {"shard", o.task.str()}, {"try", o.attempt}};
-        if (o.kind == CommandKind::stop) e["respite_s"] = o.grace_s;
-        list.push_back(std::move(e));
+    for (const auto& command : commands) {
+        Json entry = {{"verb", command_names[static_cast<int>(command.kind)]},
+                      {"shard", command.task.str()},
+                      {"try", command.attempt}};
+        if (command.kind == CommandKind::stop) entry["respite_s"] = command.grace_s;
+        list.push_back(std::move(entry));
     }
-    Json j = {{"baton", token.value()}, {"orders", std::move(list)}};
-    if (agent_epoch) j["tenure"] = *agent_epoch;
-    return j.dump();
+    Json json = {{"baton", token.value()}, {"orders", std::move(list)}};
+    if (agent_epoch) json["tenure"] = *agent_epoch;
+    return json.dump();
 }
 
 std::string encode_redirect(const std::optional<NodeName>& leader) {
@@ -283,13 +297,13 @@
 }
 
 std::optional<std::vector<MachineType>> parse_machine_types(std::string_view body) {
-    return guarded(body, types_of);
+    return parse_or_nullopt(body, machine_types_of);
 }
 
-std::optional<std::vector<MachineType>> machine_types_from_json(const Json& j) {
+std::optional<std::vector<MachineType>> machine_types_from_json(const Json& json) {
     try {
-        return types_of(j);
-    } catch (const Bad&) {
+        return machine_types_of(json);
+    } catch (const MalformedInput&) {
     } catch (const Json::exception&) {
     }
     return std::nullopt;
@@ -297,37 +311,37 @@
 
 Json machine_types_to_json(const std::vector<MachineType>& types) {
     Json list = Json::array();
-    for (const auto& t : types)
-        list.push_back({{"sku", t.name},
-                        {"vcpus", whole_gb(t.capacity.cpu)},
-                        {"gpus", whole_gb(t.capacity.gpu)},
-                        {"ram_gb", whole_gb(t.capacity.ram)},
-                        {"local_gb", t.cache_gb},
-                        {"fetch_gb_per_s", t.fetch_gb_per_s},
-                        {"hourly", t.price},
-                        {"low_price", t.spot_price},
-                        {"boot_s", t.boot_s},
-                        {"fields", t.zones}});
+    for (const auto& type : types)
+        list.push_back({{"sku", type.name},
+                        {"vcpus", from_thousandths(type.capacity.cpu)},
+                        {"gpus", from_thousandths(type.capacity.gpu)},
+                        {"ram_gb", from_thousandths(type.capacity.ram)},
+                        {"local_gb", type.cache_gb},
+                        {"fetch_gb_per_s", type.fetch_gb_per_s},
+                        {"hourly", type.price},
+                        {"low_price", type.spot_price},
+                        {"boot_s", type.boot_s},
+                        {"fields", type.zones}});
     return {{"breeds", std::move(list)}};
 }
 
 std::optional<MachinePage> parse_machine_page(std::string_view body) {
-    return guarded(body, [](const Json& j) {
+    return parse_or_nullopt(body, [](const Json& json) {
         MachinePage page;
-        page.has_more = flag(j, "has_next");
-        for (const auto& e : need(j, "werven")) {
-            ListedMachine m;
-            m.id = MachineId(text(e, "uid"));
-            m.address = text(e, "address");
-            m.type = text(e, "breed");
-            m.zone = text(e, "field");
-            m.spot = flag(e, "loaners");
-            std::string phase = text(e, "phase");
-            m.phase = phase == "running"  ? MachinePhase::running
-                      : phase == "failed" ? MachinePhase::failed
-                                          : MachinePhase::booting;
-            m.age_s = amount(e, "held_s", true);
-            page.machines.push_back(std::move(m));
+        page.has_more = flag(json, "has_next");
+        for (const auto& entry : required(json, "werven")) {
+            ListedMachine machine;
+            machine.id = MachineId(text(entry, "uid"));
+            machine.address = text(entry, "address");
+            machine.type = text(entry, "breed");
+            machine.zone = text(entry, "field");
+            machine.spot = flag(entry, "loaners");
+            std::string phase = text(entry, "phase");
+            machine.phase = phase == "running"  ? MachinePhase::running
+                            : phase == "failed" ? MachinePhase::failed
+                                                : MachinePhase::booting;
+            machine.age_s = amount(entry, "held_s");
+            page.machines.push_back(std::move(machine));
         }
         return page;
     });
@@ -340,16 +354,16 @@
 }
 
 std::string terminate_request_body(const std::vector<MachineId>& machines) {
-    Json names = Json::array();
-    for (const auto& m : machines) names.push_back(m.value());
-    return Json{{"werven", std::move(names)}}.dump();
+    Json ids = Json::array();
+    for (const auto& machine : machines) ids.push_back(machine.value());
+    return Json{{"werven", std::move(ids)}}.dump();
 }
 
 std::optional<std::vector<MachineId>> parse_machine_ids(std::string_view body) {
-    return guarded(body, [](const Json& j) {
-        std::vector<MachineId> out;
-        for (const auto& e : need(j, "werven")) out.emplace_back(e.get<std::string>());
-        return out;
+    return parse_or_nullopt(body, [](const Json& json) {
+        std::vector<MachineId> ids;
+        for (const auto& entry : required(json, "werven")) ids.emplace_back(entry.get<std::string>());
+        return ids;
     });
 }
 
--- a/src/wire/json_api.h
+++ b/src/wire/json_api.h
@@ -1,5 +1,5 @@
-/// The JSON interfaces of users, workers, cloud and key-value store. This package alone maps the field names
-/// of the protocol to the terms that the program uses.
+/// The JSON encodings of the interfaces to users, workers, cloud and key-value store. Only this package maps
+/// the field names of these protocols to the terms used in the program.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -13,11 +13,15 @@
 namespace zincdyke::wire {
 using Json = nlohmann::json;
 
-// A service's tasks are independent like an array's, and run until the job is cancelled.
+/// How the tasks of a job belong together: independent tasks (array), tasks that run only at the same time
+/// (gang), or independent tasks that run until the job is cancelled (service).
 enum class Shape : std::uint8_t { array, gang, service };
+/// The priority of a job; lower values have precedence.
 enum class Rank : std::uint8_t { critical = 0, high = 1, standard = 2, best_effort = 3 };
+/// The state of a job as users see it.
 enum class Phase : std::uint8_t { queued, running, done, cancelled };
 
+/// A job as a user submitted it.
 struct JobSpec {
     JobId id;
     std::string job_class;
@@ -25,10 +29,10 @@
     Shape shape = Shape::array;
     Rank rank = Rank::standard;
     TaskIndex tasks = 1;
-    Resources need;  // of each task
+    Resources need;  ///< The resources that each task requires.
     std::string image;
     double image_gb = 0;
-    std::optional<std::vector<std::string>> types;  // nothing: any
+    std::optional<std::vector<std::string>> types;  ///< The permitted machine types; nullopt permits all.
     std::optional<std::string> zone;
     bool one_zone = false, spread = false, spot = false;
     double estimate_s = 0, checkpoint_s = 0, save_s = 0;
@@ -36,32 +40,39 @@
     bool is_service() const { return shape == Shape::service; }
 };
 
+/// The maximum number of tasks in a job.
 constexpr TaskIndex max_tasks = 100'000;
 
-/// Why a submission is not well-formed.
+/// The reason why a submitted job was rejected as malformed.
 struct SubmissionError {
     enum class Code : std::uint8_t {
         not_json,
         not_an_object,
         missing_field,
-        invalid_field,  ///< Of the wrong type, out of range or not one of the allowed values.
+        invalid_field,  ///< The value has the wrong type or is not in the allowed range or set.
     };
     Code code = Code::invalid_field;
-    std::string field;    ///< The protocol's name of the field; empty: the text as a whole.
-    std::string message;  ///< For the user: names the field and says what is allowed.
+    std::string field;    ///< Protocol name of the field; empty if the error concerns the whole text.
+    std::string message;  ///< Message for the user with the field and the allowed values.
 };
 
-/// Reads a user's submission.
+/// Parses the body of a user's request to submit a job.
 [[nodiscard]] tl::expected<JobSpec, SubmissionError> parse_job(std::string_view body);
-/// The body of an answer that tells a user what is wrong.
+/// Returns the JSON body of an error response to a user.
 [[nodiscard]] std::string error_response_body(std::string_view message);
-Json spec_to_json(const JobSpec& s);
-std::optional<JobSpec> spec_from_json(const Json& j);
+/// Encodes a job for a stored record, with the field names of the submission.
+Json spec_to_json(const JobSpec& spec);
+/// Decodes a job from a stored record; nullopt if it is malformed.
+std::optional<JobSpec> spec_from_json(const Json& json);
+/// Returns whether `id` is "job-" followed by 1 to 36 decimal digits.
 bool valid_job_id(std::string_view id);
+/// Returns the JSON body that reports a job's state to a user. Negative task counts are omitted.
 std::string job_response_body(const JobId& id, Phase phase, std::int64_t done = -1,
                               std::int64_t running = -1);
 
+/// The state of a task on its worker.
 enum class TaskPhase : std::uint8_t { fetching, waiting, running, saving, ended };
+/// Why a task ended on its worker.
 enum class ExitCause : std::uint8_t {
     none,
     done,
@@ -73,18 +84,19 @@
     busy,
     unknown
 };
-const char* exit_cause_name(ExitCause c);
+/// Returns the protocol's name of the cause.
+const char* exit_cause_name(ExitCause cause);
 
-/// A task as its worker reports it.
+/// The state of one task attempt in a worker's heartbeat.
 struct TaskStatus {
     TaskRef task;
     Attempt attempt = 0;
     TaskPhase phase = TaskPhase::fetching;
     ExitCause cause = ExitCause::none;
-    bool saved = false;
+    bool saved = false;  ///< Whether the task saved its progress when it ended.
 };
-/// The fencing token (`baton` on the wire): first the leader's term, then a count that the leader raises for
-/// one machine to have it send a heartbeat at once.
+/// The fencing token, `baton` on the wire. The upper bits are the leader's term. The lower bits are a count,
+/// which the leader increments to make one machine send a heartbeat immediately.
 struct FencingToken {
     Term term;
     std::uint32_t count = 0;
@@ -96,63 +108,77 @@
     }
     auto operator<=>(const FencingToken&) const = default;
 };
-/// Orders the messages of one worker: the larger is the newer. On the wire: `tenure`, `tick`. A worker begins
-/// a new epoch when its lease expires.
+/// The position of a heartbeat among those of one worker: a larger value is newer. The fields are `tenure`
+/// and `tick` on the wire. A worker starts a new agent epoch when its lease expires.
 struct HeartbeatSequence {
     std::uint64_t agent_epoch = 0, number = 0;
     auto operator<=>(const HeartbeatSequence&) const = default;
 };
-/// A worker's heartbeat with its status; on the wire the body of `/checkin`.
+/// A worker's heartbeat with the state of its tasks: the body of a `/checkin` request.
 struct Heartbeat {
     MachineId machine;
     std::string address, type, zone;
     bool spot = false;
     HeartbeatSequence sequence;
-    FencingToken token;  // the highest that this worker has seen
-    std::optional<double> spot_notice_s;
+    FencingToken token;                   ///< The highest token that the worker has received.
+    std::optional<double> spot_notice_s;  ///< Time until the cloud reclaims a spot machine, if announced.
     std::vector<TaskStatus> tasks;
 };
+/// Parses the body of a heartbeat request; nullopt if it is malformed.
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
-/// On the wire: `run`, `halt`, `clear`.
+/// The kind of a command to a worker; `run`, `halt` and `clear` on the wire.
 enum class CommandKind : std::uint8_t { start, stop, forget };
-/// A command to a worker; `order` on the wire.
+/// A command to a worker about one task attempt.
 struct Command {
     CommandKind kind = CommandKind::start;
     TaskRef task;
     Attempt attempt = 0;
-    double grace_s = 0;
+    double grace_s = 0;  ///< For `stop`: the time that the task has to save its progress.
 };
-std::string encode_commands(FencingToken token, const std::vector<Command>& orders,
+/// Returns the JSON body with commands to a worker. The agent epoch is omitted if it is not given.
+std::string encode_commands(FencingToken token, const std::vector<Command>& commands,
                             std::optional<std::uint64_t> agent_epoch = {});
+/// Returns the JSON body that directs a worker to its machine's leader; an empty object if there is none.
 std::string encode_redirect(const std::optional<NodeName>& leader);
 
+/// A machine type that the cloud offers. Prices are per hour.
 struct MachineType {
     std::string name;
     Resources capacity;
     double cache_gb = 0, fetch_gb_per_s = 0.1, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
+/// Parses the cloud's list of machine types; nullopt if it is malformed.
 std::optional<std::vector<MachineType>> parse_machine_types(std::string_view body);
+/// Encodes machine types for the stored record.
 Json machine_types_to_json(const std::vector<MachineType>& types);
-std::optional<std::vector<MachineType>> machine_types_from_json(const Json& j);
+/// Decodes machine types from the stored record; nullopt if it is malformed.
+std::optional<std::vector<MachineType>> machine_types_from_json(const Json& json);
 
+/// The state of a machine in the cloud's list.
 enum class MachinePhase : std::uint8_t { booting, running, failed };
+/// A machine in the cloud's list.
 struct ListedMachine {
     MachineId id;
     std::string address, type, zone;
     bool spot = false;
     MachinePhase phase = MachinePhase::booting;
-    double age_s = 0;
+    double age_s = 0;  ///< Time since the machine was provisioned.
 };
+/// One page of the cloud's list of machines.
 struct MachinePage {
     std::vector<ListedMachine> machines;
-    bool has_more = false;
+    bool has_more = false;  ///< Whether further pages follow.
 };
+/// Parses a page of the cloud's list of machines; nullopt if it is malformed.
 std::optional<MachinePage> parse_machine_page(std::string_view body);
+/// Returns the JSON body of a request to the cloud for `count` new machines. `request` is the request's id.
 std::string provision_request_body(const std::string& request, const std::string& type,
                                    const std::string& zone, bool spot, std::uint32_t count);
+/// Returns the JSON body of a request to the cloud to terminate machines.
 std::string terminate_request_body(const std::vector<MachineId>& machines);
+/// Parses the cloud's response with a list of machine ids; nullopt if it is malformed.
 std::optional<std::vector<MachineId>> parse_machine_ids(std::string_view body);
 
 }  // namespace zincdyke::wire
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -1,4 +1,5 @@
-/// Messages between controllers: packed structs, little-endian, versioned, checked against their bounds.
+/// Messages between controllers and their binary encoding: packed little-endian structs with a protocol
+/// version. Decoding validates all lengths.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,55 +11,64 @@
 
 namespace zincdyke::wire {
 
+/// Version byte of every frame; frames with another version are rejected.
 constexpr std::uint8_t peer_protocol_version = 4;
+/// The maximum size of a frame without its length field, in bytes.
 constexpr std::size_t max_peer_frame = std::size_t{256} * 1024;
-constexpr std::size_t peer_header_bytes = 4;  // length of what follows, as u32
+/// The size of a frame's length field, a 32-bit count of the bytes that follow.
+constexpr std::size_t peer_header_bytes = 4;
 
-/// Names a placement round: the relay that began it and that relay's own count.
+/// Identifies a placement round by the relay that started it and a number that this relay assigned.
 struct RoundId {
     NodeName relay;
     std::uint64_t number = 0;
     auto operator<=>(const RoundId&) const = default;
 };
 
-/// The first message of a connection.
+/// The first message on a connection; names the sender.
 struct Hello {
     NodeName node;
     std::uint64_t incarnation = 0;
 };
-/// One machine as its leader sees it.
+/// The state of one machine, as reported by its leader.
 struct MachineStatus {
     MachineId id;
     std::string type, zone, address;
     bool spot = false, usable = false, silent = false;
     std::uint64_t agent_epoch = 0;
-    std::uint32_t busy_tasks = 0;  // committed to it, held for offers or reported by it
+    std::uint32_t busy_tasks = 0;  ///< Tasks that are assigned to the machine, offered it or reported by it.
     std::uint32_t idle_ms = 0, silent_ms = 0;
 };
-/// Acknowledges which cancellations a controller knows; it advances the receiver's cancellation watermark
-/// (cluster/cancellation_watermark). Stamps are the steady clock of whoever first sent them, in microseconds.
+/// Acknowledges which job cancellations the sender knows, and so advances the receiver's cancellation
+/// watermark (cluster/cancellation_watermark). Each timestamp is a reading, in microseconds, of the steady
+/// clock of the controller that first sent it.
 struct CancellationAck {
-    std::uint64_t sender_epoch = 0;                    // random, new for each process
-    std::uint64_t sent_stamp = 0;                      // when this was sent
-    std::uint64_t echoed_epoch = 0, echoed_stamp = 0;  // the receiver's newest stamp that came here
-    bool is_lagging = false;   // the sender's watermark has not advanced for a while: tell it what you know
-    bool is_complete = false;  // `cancelled` names all unfinished jobs that the sender knows to be cancelled
+    std::uint64_t sender_epoch = 0;    ///< Random number that the sender's process chose at startup.
+    std::uint64_t sent_timestamp = 0;  ///< Time at which the sender sent this acknowledgement.
+    /// The latest timestamp that the sender received from the receiver, and the epoch it came with.
+    std::uint64_t echoed_epoch = 0, echoed_timestamp = 0;
+    /// Whether the sender's watermark is lagging, so that the receiver should list the cancellations it
+    /// knows.
+    bool is_lagging = false;
+    /// Whether `cancelled` lists all unfinished jobs that the sender knows to be cancelled.
+    bool is_complete = false;
     std::vector<JobId> cancelled;
 };
-/// Controller to controller, twice a second.
+/// The heartbeat that every controller sends to every other one, twice a second.
 struct PeerHeartbeat {
     CancellationAck cancellation_ack;
     bool store_reachable = false;
-    std::uint64_t applied_revision = 0;  // the store's revision that this node has read up to
-    std::uint32_t write_demand = 0;      // how much this node has to commit, against its peers
+    std::uint64_t applied_revision = 0;  ///< Revision of the key-value store up to which the sender has read.
+    std::uint32_t write_demand =
+        0;  ///< The sender's demand for writes to the store, relative to other controllers.
     std::vector<MachineStatus> machines;
 };
-/// Relay to every scorer: a job's tasks that are to be placed.
+/// Sent by the relay to every scorer: asks for machines for tasks of a job.
 struct PlacementRequest {
     RoundId round;
     JobId job;
     NodeName gatherer;
-    std::uint8_t scorers = 0;  // how many the gatherer may expect answers from
+    std::uint8_t scorers = 0;  ///< Number of scorers whose responses the gatherer expects.
     Resources need;
     std::string image;
     Rank rank = Rank::standard;
@@ -70,13 +80,13 @@
     std::string zone;
     std::int64_t score = 0;
 };
-/// Scorer to gatherer: one offer for each task that it has capacity for.
+/// Sent by a scorer to the gatherer: one offer for each task for which the scorer has capacity.
 struct PlacementResponse {
     RoundId round;
     JobId job;
     NodeName scorer;
     std::uint8_t scorers = 0;
-    bool is_gang = false;  // all tasks are placed, or none
+    bool is_gang = false;  ///< Whether either all of the job's tasks must be placed or none.
     std::vector<TaskIndex> tasks;
     std::vector<PlacementOffer> offers;
 };
@@ -85,112 +95,119 @@
     TaskIndex task = 0;
     MachineId machine;
 };
-/// Gatherer to scorer: these offers are accepted, the rest of the round is rejected.
+/// Sent by the gatherer to a scorer: the accepted offers. All other offers of the round are rejected.
 struct PlacementDecision {
     RoundId round;
     JobId job;
     std::vector<Assignment> accepted;
 };
-/// To the relay, from the gatherer (no capacity) or from a leader (conflict): place these tasks again.
+/// Sent to the relay by the gatherer (no capacity) or by a leader (conflict): the tasks must be placed again.
 struct PlacementFailure {
     RoundId round;
     JobId job;
     std::vector<TaskIndex> tasks;
 };
-/// Autoscaler to a machine's leader: place nothing more on it, it is to be scaled in.
+/// Sent by the autoscaler to a machine's leader: place no more tasks on the machine, so that it can be
+/// terminated.
 struct DrainRequest {
     MachineId machine;
 };
-/// The leader's answer: the machine is empty and takes no more tasks.
+/// Sent by the leader in response to a DrainRequest: the machine has no tasks and accepts none.
 struct DrainResponse {
     MachineId machine;
 };
-/// Autoscaler to all: the cloud confirmed that these machines are gone; nothing runs there any more.
+/// Sent by the autoscaler to all controllers: the cloud confirmed that the machines were terminated, so that
+/// no task runs on them.
 struct MachinesTerminatedNotification {
     std::vector<MachineId> machines;
 };
-/// A machine reserved for a class of jobs that cannot wait for a boot. Tasks of lower rank that save within
-/// `max_save_ms` may use it meanwhile, and are preempted for that class.
+/// A machine reserved for a class of jobs that cannot wait until a new machine has booted. Tasks of lower
+/// rank may run on it until that class needs it, if they can save their progress within `max_save_ms`.
 struct ReservedMachine {
     MachineId machine;
     std::string job_class;
     Rank rank = Rank::standard;
     std::uint32_t max_save_ms = 0;
-    JobId job;  // not empty: reserved for this one alone
+    JobId job;  ///< The only job that may use the machine; empty if any job of the class may.
 };
-/// Autoscaler to the machines' leaders: replaces all earlier reservations.
+/// Sent by the autoscaler to the machines' leaders: replaces all earlier reservations. A long list is split
+/// over several messages.
 struct ReservationUpdate {
-    bool is_first = true;  // of several messages: earlier reservations end with it
+    bool is_first =
+        true;  ///< Whether this is the first message of the list, which ends earlier reservations.
     std::vector<ReservedMachine> machines;
 };
-/// Autoscaler to a machine's leader: stop this task, with time to save, for work of higher rank.
+/// Sent by the autoscaler to a machine's leader: preempt the task for work of higher rank. The task gets time
+/// to save its progress.
 struct PreemptionRequest {
     JobId job;
     TaskIndex task = 0;
     Attempt attempt = 0;
 };
-/// Autoscaler to all: machines that the cloud lists as running and from which no controller receives
-/// heartbeats. Their leaders announce themselves there: a former leader that is partitioned from everything
-/// else may still command them.
-/// A machine as the cloud lists it.
+/// A machine in the cloud's list and the address of its worker.
 struct DiscoveredMachine {
     MachineId id;
     std::string address;
 };
+/// Sent by the autoscaler to all controllers: machines that the cloud lists as running and from which no
+/// controller receives heartbeats. Their leaders then contact them directly, because a former leader that is
+/// cut off from all other controllers may still command them.
 struct MachinesDiscoveredNotification {
     std::vector<DiscoveredMachine> machines;
 };
-/// One start or end of a task, to be committed.
+/// A start or end of a task that is to be committed to the key-value store.
 struct TaskOperation {
     std::uint8_t event = 0;
     TaskIndex task = 0;
     Attempt attempt = 0;
     MachineId machine;
     std::string zone;
-    std::uint64_t term = 0;        // of the machine's leader when it decided this
-    std::uint64_t request_id = 0;  // chosen by that leader
+    std::uint64_t term = 0;        ///< Term in which the machine's leader decided the operation.
+    std::uint64_t request_id = 0;  ///< Identifies the operation to the leader that requested it.
 };
-/// A machine's leader to the job's committer: commit these with the operations of other leaders.
+/// Sent by a machine's leader to the job's committer, which commits the operations of all leaders together.
 struct CommitRequest {
     JobId job;
     std::vector<TaskOperation> operations;
 };
-/// What came of one operation.
+/// The outcome of one operation.
 struct OperationResult {
     std::uint64_t request_id = 0;
     bool is_committed = false;
 };
-/// A record as a commit left it.
+/// The state of a record after a commit.
 struct StoredRecord {
-    std::string key, value;  // JSON text; empty: deleted
+    std::string key, value;  ///< The value is JSON text; empty if the record was deleted.
     std::uint64_t version = 0;
 };
-/// The committer's answer: the operations' results and the records that the commit left.
+/// Sent by the committer in response to a CommitRequest: the outcomes of the operations and the resulting
+/// records.
 struct CommitResponse {
     std::vector<OperationResult> results;
     std::vector<StoredRecord> records;
 };
-/// A leader to all: capacity has come free on machines of this type, so that tasks which found none may ask
-/// again.
+/// Sent by a leader to all controllers: capacity was freed on machines of the type, so that tasks that could
+/// not be placed may be retried.
 struct CapacityFreedNotification {
     std::string type;
     Resources free;
 };
-/// From the controller that confirms a cancellation, to all: its tasks are to be stopped at once, not only
-/// when the watch brings it.
+/// Sent by the controller that confirms a cancellation to all controllers, so that they stop the job's tasks
+/// immediately instead of when they read the cancellation from the key-value store.
 struct JobCancelledNotification {
     JobId job;
 };
-/// Any message between controllers; the order is the kind byte of the frame.
+/// Any message between controllers. The position of a type in this list is its kind byte in the encoding.
 using PeerMessage =
     std::variant<Hello, PeerHeartbeat, PlacementRequest, PlacementResponse, PlacementDecision,
                  PlacementFailure, DrainRequest, DrainResponse, MachinesTerminatedNotification,
                  ReservationUpdate, PreemptionRequest, MachinesDiscoveredNotification, CommitRequest,
                  CommitResponse, CapacityFreedNotification, JobCancelledNotification>;
 
-/// The whole frame, length included.
-std::string encode(const PeerMessage& m);
-/// `payload` is a frame without its length. Nothing when it is truncated, oversized or of an unknown kind.
+/// Returns the complete frame of a message, including the length field.
+std::string encode(const PeerMessage& message);
+/// Decodes a frame without its length field. Returns nullopt if the frame is truncated or oversized, or if
+/// its version or kind is unknown.
 std::optional<PeerMessage> decode(std::string_view payload);
 
 }  // namespace zincdyke::wire
