--- a/src/autoscaler/arrivals.cpp
+++ b/src/autoscaler/arrivals.cpp
@@ -20,7 +20,7 @@
     if (arrivals_.size() > max_arrivals) arrivals_.erase(arrivals_.begin());
 }
 
-void ArrivalStatistics::remove_expired(WallTime now) {
+void ArrivalStatistics::remove_expired_submissions(WallTime now) {
     while (!arrivals_.empty() && arrivals_.begin()->first.first.value() + window_ms < now.value())
         arrivals_.erase(arrivals_.begin());
 }
--- a/src/autoscaler/arrivals.h
+++ b/src/autoscaler/arrivals.h
@@ -19,7 +19,7 @@
     /// Adds a submitted job to the statistics. Does nothing if the job was added before.
     void record_submission(const Job& job);
     /// Removes the jobs that were submitted too long before `now` to be in the time window.
-    void remove_expired(WallTime now);
+    void remove_expired_submissions(WallTime now);
     /// Whether the statistics contain no jobs.
     bool empty() const { return arrivals_.empty(); }
     /// The specification of the most recently submitted job.
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -82,7 +82,7 @@
 }
 
 void Autoscaler::on_machines_terminated(const wire::MachinesTerminatedNotification& message) {
-    for (const auto& id : message.machines) inventory_.record_terminated(id, env_.now());
+    for (const auto& id : message.machines) inventory_.record_terminated_machine(id, env_.now());
 }
 
 void Autoscaler::tick() {
@@ -92,15 +92,16 @@
     if (!cluster_.is_autoscaler_leader()) return deactivate();
     if (!is_active_) activate(now);
     if (now >= next_types_read_at_) read_machine_types();
-    if (now >= next_list_at_ && !is_reading_list_) {
-        next_list_at_ = now + seconds(std::max({min_list_interval_s, calls_per_list / settings_.cloud_rps,
-                                                settings_.list_lag_s / lists_per_lag}));
+    if (now >= next_list_read_at_ && !is_reading_list_) {
+        next_list_read_at_ =
+            now + seconds(std::max({min_list_interval_s, calls_per_list / settings_.cloud_rps,
+                                    settings_.list_lag_s / lists_per_lag}));
         read_machine_list("", {});
     }
     inventory_.remove_expired_records(now);
     if (!has_read_list_) return;
-    terminate_drained();
-    plan();
+    terminate_drained_machines();
+    plan_capacity();
     delete_orphaned_pages();
 }
 
@@ -108,7 +109,7 @@
     is_active_ = true;
     has_read_list_ = false;
     active_since_ = now;
-    next_list_at_ = next_types_read_at_ = now;
+    next_list_read_at_ = next_types_read_at_ = now;
     provisioner_.discard_pending_requests();
 }
 
@@ -138,31 +139,32 @@
     });
 }
 
-// Reads the cloud's machine list page by page, starting with the first machine name greater than `after`.
+// Reads the cloud's machine list page by page, starting with the first machine name greater than
+// `start_after`.
 // `listed` contains the machines on the pages that have already been read.
-void Autoscaler::read_machine_list(const std::string& after, std::set<MachineId> listed) {
+void Autoscaler::read_machine_list(const std::string& start_after, std::set<MachineId> listed) {
     is_reading_list_ = true;
-    cloud_.list_machines(
-        after, [this, listed = std::move(listed)](const std::optional<wire::MachinePage>& page) mutable {
-            is_reading_list_ = false;
-            if (!page || !cluster_.is_autoscaler_leader()) return;
-            const SteadyTime now = env_.now();
-            for (const auto& machine : page->machines) {
-                listed.insert(machine.id);
-                inventory_.record_listed(machine, now);
-            }
-            if (page->more && !page->machines.empty())
-                return read_machine_list(page->machines.back().id.value(), std::move(listed));
-            has_read_list_ = true;
-            announce_discovered_machines();
-            inventory_.remove_unlisted(listed, now);
-        });
+    cloud_.list_machines(start_after, [this, listed = std::move(listed)](
+                                          const std::optional<wire::MachinePage>& page) mutable {
+        is_reading_list_ = false;
+        if (!page || !cluster_.is_autoscaler_leader()) return;
+        const SteadyTime now = env_.now();
+        for (const auto& machine : page->machines) {
+            listed.insert(machine.id);
+            inventory_.record_listed_machine(machine, now);
+        }
+        if (page->more && !page->machines.empty())
+            return read_machine_list(page->machines.back().id.value(), std::move(listed));
+        has_read_list_ = true;
+        announce_discovered_machines();
+        inventory_.remove_unlisted_machines(listed, now);
+    });
 }
 
 // Notifies all controllers of running machines that send heartbeats to none of them, so that the machines'
 // leaders can contact these machines.
 void Autoscaler::announce_discovered_machines() {
-    std::vector<wire::DiscoveredMachine> machines = inventory_.running_without_heartbeat(env_.now());
+    std::vector<wire::DiscoveredMachine> machines = inventory_.running_machines_without_heartbeat(env_.now());
     while (!machines.empty()) {
         const std::size_t count = std::min(autoscaler::max_machines_per_message, machines.size());
         const auto first = machines.end() - static_cast<std::ptrdiff_t>(count);
@@ -173,7 +175,7 @@
     }
 }
 
-void Autoscaler::terminate_drained() {
+void Autoscaler::terminate_drained_machines() {
     const auto machines = std::exchange(drained_machines_, {});
     provisioner_.terminate_machines({machines.begin(), machines.end()}, autoscaler::TerminationReason::idle);
 }
@@ -195,29 +197,30 @@
     });
 }
 
-void Autoscaler::plan() {
+void Autoscaler::plan_capacity() {
     if (state_cache_.machine_types().empty()) return;
     const SteadyTime now = env_.now();
     autoscaler::PlanInput input;
     FaultyMachines faulty;
     input.machine_types = &state_cache_.machine_types();
     input.max_new_machines = provisioner_.max_new_machines();
-    add_machines(input, faulty, now);
-    find_silent_placements(faulty, now);
+    add_usable_machines(input, faulty, now);
+    find_silent_unlisted_machines(faulty, now);
     add_requested_machines(input);
     input.unavailable_machine_kinds = provisioner_.unavailable_machine_kinds(now);
     input.demands = autoscaler::waiting_demands(settings_, policy_, state_cache_, env_.wall());
     reservation_planner_.replace_reservations(input);
-    input.demands = autoscaler::merge_similar(std::move(input.demands));
+    input.demands = autoscaler::merge_similar_demands(std::move(input.demands));
     const autoscaler::Plan plan = autoscaler::make_plan(std::move(input));
     reservation_planner_.announce_reservations();
     if (is_inventory_complete(now)) provisioner_.provision_machines(plan.new_machines);
     drain_idle_machines(plan.needed_machines, now);
-    terminate_faulty(std::move(faulty));
+    terminate_faulty_machines(std::move(faulty));
 }
 
-// Adds the machines that tasks can use to `input`, and the machines that must be terminated to `faulty`.
-void Autoscaler::add_machines(autoscaler::PlanInput& input, FaultyMachines& faulty, SteadyTime now) {
+// Adds each machine on which tasks can be placed to `input`. Adds machines that must be terminated to
+// `faulty`.
+void Autoscaler::add_usable_machines(autoscaler::PlanInput& input, FaultyMachines& faulty, SteadyTime now) {
     for (auto& [id, machine] : inventory_.machines()) {
         if (machine.is_terminating || inventory_.was_terminated(id)) continue;
         const wire::MachineType* type = state_cache_.machine_type(machine.type);
@@ -298,7 +301,7 @@
 
 // Adds silent machines to `faulty` that are missing from the inventory but have tasks placed on them. They
 // must be terminated, because only a confirmed termination proves that their tasks have stopped.
-void Autoscaler::find_silent_placements(FaultyMachines& faulty, SteadyTime now) const {
+void Autoscaler::find_silent_unlisted_machines(FaultyMachines& faulty, SteadyTime now) const {
     for (const auto& [id, report] : inventory_.reports()) {
         const bool is_known_from_placements_only =
             report.status.busy_tasks > 0 && !inventory_.machines().contains(id);
@@ -358,7 +361,7 @@
     return status.idle_ms >= keep_s * 1000;
 }
 
-void Autoscaler::terminate_faulty(FaultyMachines faulty) {
+void Autoscaler::terminate_faulty_machines(FaultyMachines faulty) {
     provisioner_.terminate_machines(std::move(faulty.silent), autoscaler::TerminationReason::silent);
     provisioner_.terminate_machines(std::move(faulty.slow_boot), autoscaler::TerminationReason::slow_boot);
     provisioner_.terminate_machines(std::move(faulty.failed), autoscaler::TerminationReason::failed);
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -34,7 +34,7 @@
 
     /// Starts the periodic planning. Must be called only once.
     void start();
-    /// Handles a controller's heartbeat, which contains the status of the machines that it leads.
+    /// Handles a heartbeat from the controller `from` with the status of the machines that it leads.
     void on_peer_heartbeat(const NodeName& from, const wire::PeerHeartbeat& heartbeat);
     /// Handles the message in which a shard's leader confirms that a machine is drained.
     void on_drain_response(const wire::DrainResponse& message);
@@ -52,13 +52,13 @@
     void deactivate();
     void read_machine_types();
     void on_machine_types(const std::vector<wire::MachineType>& types);
-    void read_machine_list(const std::string& after, std::set<MachineId> seen);
+    void read_machine_list(const std::string& start_after, std::set<MachineId> listed);
     void announce_discovered_machines();
-    void terminate_drained();
+    void terminate_drained_machines();
     void delete_orphaned_pages();
 
-    void plan();
-    void add_machines(autoscaler::PlanInput& input, FaultyMachines& faulty, SteadyTime now);
+    void plan_capacity();
+    void add_usable_machines(autoscaler::PlanInput& input, FaultyMachines& faulty, SteadyTime now);
     bool add_capacity_of_reported_machine(autoscaler::MachineBin& bin, const wire::MachineStatus& status,
                                           const wire::MachineType& type) const;
     bool add_capacity_of_unreported_machine(autoscaler::MachineBin& bin,
@@ -69,13 +69,13 @@
                                          const autoscaler::ProvisionedMachine& machine,
                                          const wire::MachineType& type, FaultyMachines& faulty,
                                          SteadyTime now) const;
-    void find_silent_placements(FaultyMachines& faulty, SteadyTime now) const;
+    void find_silent_unlisted_machines(FaultyMachines& faulty, SteadyTime now) const;
     void add_requested_machines(autoscaler::PlanInput& input) const;
     bool is_presumed_lost(const wire::MachineStatus& status) const;
     bool is_inventory_complete(SteadyTime now) const;
     void drain_idle_machines(const std::set<MachineId>& needed_machines, SteadyTime now);
     bool is_idle(const wire::MachineStatus& status, const wire::MachineType* type) const;
-    void terminate_faulty(FaultyMachines faulty);
+    void terminate_faulty_machines(FaultyMachines faulty);
 
     Env& env_;
     const Settings& settings_;
@@ -90,10 +90,10 @@
     autoscaler::ReservationPlanner reservation_planner_;
     bool is_active_ = false;         // whether this node is the autoscaler leader
     bool is_reading_list_ = false;   // whether a read of the cloud's machine list is pending
-    bool has_read_list_ = false;     // whether the whole list has been read since the election
+    bool has_read_list_ = false;     // whether this leader has read the whole machine list
     bool is_deleting_page_ = false;  // whether the deletion of an orphaned page is pending
-    SteadyTime active_since_{}, next_list_at_{}, next_types_read_at_{};
-    std::set<MachineId> drained_machines_;  // terminated together at the next tick
+    SteadyTime active_since_{}, next_list_read_at_{}, next_types_read_at_{};
+    std::set<MachineId> drained_machines_;  // machines to terminate together at the next tick
 };
 
 }  // namespace zincdyke
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -26,7 +26,7 @@
 // first.
 constexpr double runs_class_cost = 0;
 constexpr double being_preempted_cost = 0.5;
-constexpr double idle_cost = 2;  // reduced by the machine's cached image share (0 to 1)
+constexpr double idle_cost = 2;  // the share of cached images (0 to 1) is subtracted
 constexpr double idle_reserved_discount = 0.1;
 constexpr double busy_reserved_cost = 3,
                  busy_cost = 4;  // the preemption cost in seconds is added to both
@@ -43,9 +43,9 @@
       previous_reservations_(previous_reservations),
       plan_input_(plan_input) {}
 
-std::optional<Demand> ClassReservations::reserve(const std::string& job_class,
-                                                 const ArrivalStatistics& arrivals, WallTime now,
-                                                 ReservationMap& reservations) {
+std::optional<Demand> ClassReservations::reserve_for_class(const std::string& job_class,
+                                                           const ArrivalStatistics& arrivals, WallTime now,
+                                                           ReservationMap& reservations) {
     const wire::JobSpec& spec = arrivals.latest_spec();
     if (spec.is_service()) return reserve_for_service(arrivals, now, reservations);
     const wire::MachineType* type = cheapest_machine_type(spec);
@@ -232,7 +232,8 @@
     for (MachineBin& bin : plan_input_.machine_bins) {
         const wire::MachineType* type = state_cache_.machine_type(bin.type);
         if (!can_reserve_machine(bin, type, spec)) continue;
-        const bool is_running_class = !spec.is_service() && runs_class(bin.id, reservation.job_class);
+        const bool is_running_class =
+            !spec.is_service() && runs_tasks_of_class(bin.id, reservation.job_class);
         if (is_running_class) ++candidates.running_class_count;
         candidates.machines.push_back(
             {candidate_cost(bin, *type, spec, is_running_class, image_shares, reservation), &bin});
@@ -261,7 +262,7 @@
            preemptor_.preemption_cost_s(bin, spec, reservation).value_or(not_preemptible_cost);
 }
 
-bool ClassReservations::runs_class(const MachineId& id, const std::string& job_class) const {
+bool ClassReservations::runs_tasks_of_class(const MachineId& id, const std::string& job_class) const {
     const auto& tasks = state_cache_.tasks_on(id);
     return std::any_of(tasks.begin(), tasks.end(), [&](const TaskRef& ref) {
         const Job* job = state_cache_.job(ref.job);
--- a/src/autoscaler/class_reservations.h
+++ b/src/autoscaler/class_reservations.h
@@ -34,8 +34,8 @@
     /// Reserves machines for a job class if it needs standby machines, and adds them to `reservations`.
     /// Returns the demand for standby machines that do not exist yet; nothing if the class needs no standby
     /// machines.
-    std::optional<Demand> reserve(const std::string& job_class, const ArrivalStatistics& arrivals,
-                                  WallTime now, ReservationMap& reservations);
+    std::optional<Demand> reserve_for_class(const std::string& job_class, const ArrivalStatistics& arrivals,
+                                            WallTime now, ReservationMap& reservations);
 
   private:
     std::optional<Demand> reserve_for_service(const ArrivalStatistics& arrivals, WallTime now,
@@ -63,7 +63,7 @@
     double candidate_cost(const MachineBin& bin, const wire::MachineType& type, const wire::JobSpec& spec,
                           bool runs_class, const std::map<std::string, double>& image_shares,
                           const sched::Reservation& reservation) const;
-    bool runs_class(const MachineId& id, const std::string& job_class) const;
+    bool runs_tasks_of_class(const MachineId& id, const std::string& job_class) const;
     double cached_image_share(const MachineId& id, const wire::MachineType& type,
                               const std::map<std::string, double>& image_shares) const;
 
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -114,7 +114,7 @@
     return demands;
 }
 
-std::vector<Demand> merge_similar(std::vector<Demand> demands) {
+std::vector<Demand> merge_similar_demands(std::vector<Demand> demands) {
     if (demands.size() <= max_unmerged_demands) return demands;
     std::vector<Demand> merged;
     std::map<DemandGroup, std::size_t> index_by_group;
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -16,7 +16,7 @@
 
 /// Merges demands that have the same job class, rank and placement constraints and similar resources and
 /// maximum waits. Fewer demands make planning faster. A short list is returned unchanged.
-std::vector<Demand> merge_similar(std::vector<Demand> demands);
+std::vector<Demand> merge_similar_demands(std::vector<Demand> demands);
 
 /// Returns the expected run time of each task of a job, in seconds. For a service, whose replicas run until
 /// the job is cancelled, returns a value that is longer than any plan considers.
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -35,7 +35,7 @@
       previous_reservations_(previous_reservations),
       bins_(bins) {}
 
-ReservationMap GangReservations::reserve(WallTime now) {
+ReservationMap GangReservations::reserve_for_gangs(WallTime now) {
     ReservationMap reservations;
     const std::vector<const Job*> overdue = overdue_gangs(now);
     if (overdue.empty()) return reservations;
--- a/src/autoscaler/gang_reservations.h
+++ b/src/autoscaler/gang_reservations.h
@@ -32,7 +32,7 @@
                      const ReservationMap& previous_reservations, std::vector<MachineBin>& bins);
 
     /// Reserves machines for the gangs that have waited too long at `now`, and returns the reservations.
-    ReservationMap reserve(WallTime now);
+    ReservationMap reserve_for_gangs(WallTime now);
 
   private:
     /// The resources and constraints for placing one member of a gang. The same machines may be reserved for
--- a/src/autoscaler/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -51,7 +51,7 @@
     machine.last_listed_at = now;
 }
 
-void MachineInventory::record_listed(const wire::ListedMachine& listed, SteadyTime now) {
+void MachineInventory::record_listed_machine(const wire::ListedMachine& listed, SteadyTime now) {
     if (terminated_at_.contains(listed.id)) return;
     auto [it, is_new] = machines_.try_emplace(listed.id);
     ProvisionedMachine& machine = it->second;
@@ -69,7 +69,8 @@
         machine.phase = listed.phase;
 }
 
-void MachineInventory::record_provisioned(const MachineId& id, const MachineKind& kind, SteadyTime now) {
+void MachineInventory::record_provisioned_machine(const MachineId& id, const MachineKind& kind,
+                                                  SteadyTime now) {
     auto [it, is_new] = machines_.try_emplace(id);
     if (!is_new) return;
     ProvisionedMachine& machine = it->second;
@@ -79,7 +80,7 @@
     machine.first_seen_at = machine.last_listed_at = now;
 }
 
-void MachineInventory::record_terminated(const MachineId& id, SteadyTime now) {
+void MachineInventory::record_terminated_machine(const MachineId& id, SteadyTime now) {
     machines_.erase(id);
     reports_.erase(id);
     terminated_at_[id] = now;
@@ -87,7 +88,7 @@
 
 // Plans do not use removed machines, because a machine that is missing from the cloud's list for long
 // probably does not exist. Its absence from the list does not prove that its tasks have stopped.
-void MachineInventory::remove_unlisted(const std::set<MachineId>& listed, SteadyTime now) {
+void MachineInventory::remove_unlisted_machines(const std::set<MachineId>& listed, SteadyTime now) {
     const Duration retention = seconds(settings_.list_lag_s * list_lag_multiple + unlisted_margin_s);
     std::erase_if(machines_, [&](const auto& entry) {
         const auto& [id, machine] = entry;
@@ -103,7 +104,8 @@
                   [&](const auto& entry) { return now - entry.second.received_at > report_retention; });
 }
 
-std::vector<wire::DiscoveredMachine> MachineInventory::running_without_heartbeat(SteadyTime now) const {
+std::vector<wire::DiscoveredMachine> MachineInventory::running_machines_without_heartbeat(
+    SteadyTime now) const {
     std::vector<wire::DiscoveredMachine> machines;
     for (const auto& [id, machine] : machines_) {
         if (machine.phase != wire::MachinePhase::running || machine.address.empty() || machine.is_terminating)
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -23,14 +23,16 @@
     bool spot = false;
     wire::MachinePhase phase = wire::MachinePhase::booting;
     SteadyTime first_seen_at{}, last_listed_at{};
-    double listed_age_s = 0;          ///< Its listed age at `first_seen_at`; 0: not listed by then.
+    /// The machine's age at `first_seen_at` according to the cloud's machine list, in seconds; 0 if the
+    /// machine was not listed then.
+    double listed_age_s = 0;
     bool has_sent_heartbeat = false;  ///< Whether a controller has ever received a heartbeat from it.
     bool is_terminating = false;      ///< Whether the cloud has been requested to terminate the machine.
     std::string address;              ///< The worker's address in the cloud's list; empty: none.
     /// Since when the machine has been running without a recent report of a heartbeat from it; 0: such a
     /// report has been received, or the machine is not running.
     SteadyTime no_heartbeat_since{};
-    SteadyTime drain_requested_at{};  ///< When its drain was last requested; 0: never.
+    SteadyTime drain_requested_at{};  ///< When the machine's drain was last requested; 0: never.
 };
 
 /// The latest status of a machine, received from the leader of the machine's shard.
@@ -63,19 +65,19 @@
     /// Records a machine's status as reported by its shard leader.
     void record_report(const NodeName& leader, const wire::MachineStatus& status, SteadyTime now);
     /// Records an entry of the cloud's machine list.
-    void record_listed(const wire::ListedMachine& listed, SteadyTime now);
+    void record_listed_machine(const wire::ListedMachine& listed, SteadyTime now);
     /// Records a machine that the cloud has just provisioned.
-    void record_provisioned(const MachineId& id, const MachineKind& kind, SteadyTime now);
+    void record_provisioned_machine(const MachineId& id, const MachineKind& kind, SteadyTime now);
     /// Replaces the machine's record and report by a record of its confirmed termination.
-    void record_terminated(const MachineId& id, SteadyTime now);
+    void record_terminated_machine(const MachineId& id, SteadyTime now);
     /// Removes machines that are not in `listed`, the cloud's complete machine list, and have neither been
     /// listed nor sent a heartbeat for a long time.
-    void remove_unlisted(const std::set<MachineId>& listed, SteadyTime now);
+    void remove_unlisted_machines(const std::set<MachineId>& listed, SteadyTime now);
     /// Removes reports on machines and records of terminations that are too old to be used.
     void remove_expired_records(SteadyTime now);
 
     /// Returns the machines that the cloud lists as running but that send heartbeats to no controller.
-    std::vector<wire::DiscoveredMachine> running_without_heartbeat(SteadyTime now) const;
+    std::vector<wire::DiscoveredMachine> running_machines_without_heartbeat(SteadyTime now) const;
 
   private:
     const Settings& settings_;
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -61,8 +61,8 @@
   private:
     struct QueuedSlot {
         double available_in_s = 0;
-        std::size_t bin_index = 0;   // of the machine in `bins_`
-        std::size_t slot_index = 0;  // of the capacity slot in the machine's `slots`
+        std::size_t bin_index = 0;   // index of the machine in `bins_`
+        std::size_t slot_index = 0;  // index of the capacity slot in that machine's `slots`
         const wire::MachineType* type = nullptr;
         // std::priority_queue returns the largest element first. A slot that is available earlier is
         // therefore the larger one; of slots available at the same time, the one with the lower indexes.
@@ -95,7 +95,7 @@
     std::vector<MachineBin>& bins_;
     const Demand& demand_;
     const std::vector<wire::MachineType>& types_;
-    std::deque<MachineKind> kinds_;  // a deque keeps the addresses in usable_types_ valid
+    std::deque<MachineKind> kinds_;  // a deque keeps the pointers in usable_types_ valid
     std::vector<std::pair<const MachineKind*, const wire::MachineType*>> usable_types_;
     std::priority_queue<QueuedSlot> queue_;
 };
@@ -115,8 +115,8 @@
   private:
     // How much of a demand one new machine is estimated to serve, and for how long the machine is billed.
     struct MachineEstimate {
-        double task_count = 0;     // total, in parallel or one after another
-        double billed_time_s = 0;  // from boot start to the end of the last task
+        double task_count = 0;     // tasks that the machine runs, in parallel or in sequence
+        double billed_time_s = 0;  // time from the start of the boot until the last task ends
     };
     void plan_demand(Demand& demand);
     void extend_wait_to_boot(Demand& demand) const;
--- a/src/autoscaler/plan.h
+++ b/src/autoscaler/plan.h
@@ -23,7 +23,7 @@
 
 /// An existing or planned machine into which waiting tasks are packed: a bin, in terms of bin packing.
 struct MachineBin {
-    MachineId id;  ///< Empty if the machine has not been provisioned yet.
+    MachineId id;  ///< Empty for a machine that is not provisioned yet.
     std::string type, zone;
     bool spot = false;
     std::vector<CapacitySlot> slots;
@@ -53,7 +53,7 @@
     std::vector<MachineBin> machine_bins;
     std::vector<Demand> demands;  ///< Ordered by urgency, the most urgent first.
     const std::vector<wire::MachineType>* machine_types = nullptr;
-    std::set<MachineKind> unavailable_machine_kinds;  ///< Must not be in the plan's `new_machines`.
+    std::set<MachineKind> unavailable_machine_kinds;  ///< Kinds of machines that may not be added.
     std::size_t max_new_machines = 50;
 };
 
--- a/src/autoscaler/preemption.h
+++ b/src/autoscaler/preemption.h
@@ -33,7 +33,7 @@
     /// Discards the recorded placement times of tasks. Must be called while this node is not the autoscaler
     /// leader.
     void stop_tracking_placements();
-    /// Records the placement time of newly placed tasks, and discards those of tasks that have ended.
+    /// Records the placement times of newly placed tasks, and discards those of tasks that have ended.
     void track_placements();
     /// Discards records of old preemption requests, so that preemption on their machines can be requested
     /// again.
@@ -61,7 +61,7 @@
     PeerChannel& peers_;
     bool is_tracking_ = false;  // whether placements were tracked since stop_tracking_placements()
     std::map<std::pair<TaskRef, Attempt>, SteadyTime> placed_at_;  // when a placement was first observed
-    std::map<MachineId, SteadyTime> preempted_at_;                 // time of the last preemption request
+    std::map<MachineId, SteadyTime> preempted_at_;  // when preemption on a machine was last requested
 };
 
 }  // namespace zincdyke::autoscaler
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -94,7 +94,7 @@
         it->second -= std::min(it->second, count);
         if (it->second == 0) requested_machines_.erase(it);
     }
-    for (const auto& id : machines) inventory_.record_provisioned(id, kind, now);
+    for (const auto& id : machines) inventory_.record_provisioned_machine(id, kind, now);
     const bool is_complete = outcome == CloudClient::ProvisionOutcome::ok && machines.size() >= count;
     if (is_complete) return;
     double pause_s = provision_retry_s;
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -24,12 +24,12 @@
     preemptor_.remove_expired_requests();
     ReservationMap reservations =
         GangReservations(settings_, state_cache_, preemptor_, reservations_, plan_input.machine_bins)
-            .reserve(now);
+            .reserve_for_gangs(now);
     ClassReservations classes(settings_, policy_, state_cache_, preemptor_, reservations_, plan_input);
     std::vector<Demand> standby_demands;
     for (auto& [group, arrivals] : arrivals_by_group_) {
-        arrivals.remove_expired(now);
-        if (auto demand = classes.reserve(group.job_class, arrivals, now, reservations))
+        arrivals.remove_expired_submissions(now);
+        if (auto demand = classes.reserve_for_class(group.job_class, arrivals, now, reservations))
             standby_demands.push_back(std::move(*demand));
     }
     // The demands for standby machines are added after the loop, because ClassReservations counts the tasks
--- a/src/autoscaler/reservations.h
+++ b/src/autoscaler/reservations.h
@@ -25,7 +25,8 @@
     ReservationPlanner(Env& env, const Settings& settings, const Policy& policy,
                        const StateCache& state_cache, const MachineInventory& inventory, PeerChannel& peers);
 
-    /// Must be called while this node is not the autoscaler leader.
+    /// Discards the recorded placement times of tasks. Must be called while this node is not the autoscaler
+    /// leader.
     void stop_tracking_placements() { preemptor_.stop_tracking_placements(); }
     /// Replaces the reservations of the last plan by new ones. Sets the reservation of each machine in
     /// `plan_input`, and adds the demands for standby machines to `plan_input`.
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -46,10 +46,10 @@
     });
 }
 
-void CloudClient::list_machines(const std::string& after,
+void CloudClient::list_machines(const std::string& start_after,
                                 std::function<void(std::optional<wire::MachinePage>)> done) {
     std::string path = "/machines?most=500";
-    if (!after.empty()) path += "&after=" + after;
+    if (!start_after.empty()) path += "&after=" + start_after;
     enqueue_request({"GET", path, ""}, [done = std::move(done)](const HttpResponse& response) {
         done(response.status == 200 ? wire::parse_machine_page(response.body) : std::nullopt);
     });
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -30,8 +30,10 @@
     /// Lists the cloud's machine types and passes them to `done`, or nothing if the request fails.
     void list_machine_types(std::function<void(std::optional<std::vector<wire::MachineType>>)> done);
     /// Lists one page of machines, ordered by name, and passes it to `done`, or nothing if the request fails.
-    /// The page starts with the first name greater than `after`, or with the first machine if it is empty.
-    void list_machines(const std::string& after, std::function<void(std::optional<wire::MachinePage>)> done);
+    /// The page starts with the first name greater than `start_after`; if `start_after` is empty, with the
+    /// first machine.
+    void list_machines(const std::string& start_after,
+                       std::function<void(std::optional<wire::MachinePage>)> done);
     /// Provisions up to `count` machines and passes their names to `done`. `request` is the idempotency key
     /// and must differ for each request.
     void provision_machines(const std::string& request, const std::string& type, const std::string& zone,
--- a/tests/autoscaling_plan_test.cpp
+++ b/tests/autoscaling_plan_test.cpp
@@ -57,12 +57,12 @@
     EXPECT_DOUBLE_EQ(arrivals.machines_per_s(WallTime(2'000)), 8.0 / 30);  // over 30 s at least
     EXPECT_DOUBLE_EQ(arrivals.image_shares().at("a"), 0.75);
     EXPECT_DOUBLE_EQ(arrivals.image_shares().at("b"), 0.25);
-    arrivals.remove_expired(WallTime(241'000));
+    arrivals.remove_expired_submissions(WallTime(241'000));
     EXPECT_EQ(arrivals.image_shares().size(), 2U);
-    arrivals.remove_expired(WallTime(241'001));
+    arrivals.remove_expired_submissions(WallTime(241'001));
     EXPECT_EQ(arrivals.image_shares().size(), 1U);
     EXPECT_DOUBLE_EQ(arrivals.machines_per_s(WallTime(241'001)), 2.0 / 240);
-    arrivals.remove_expired(WallTime(300'000));
+    arrivals.remove_expired_submissions(WallTime(300'000));
     EXPECT_TRUE(arrivals.empty());
 }
 
@@ -80,9 +80,9 @@
     std::vector<autoscaler::Demand> demands;
     for (int i = 0; i < 10; ++i)
         for (const auto* spec : specs) demands.push_back({spec, {}, 2, 10.0 + i, 20.0 - 0.5 * i});
-    EXPECT_EQ(autoscaler::merge_similar(demands).size(), 60U);
+    EXPECT_EQ(autoscaler::merge_similar_demands(demands).size(), 60U);
     for (const auto* spec : specs) demands.push_back({spec, "b", 2, 10, 20});
-    const auto merged = autoscaler::merge_similar(demands);
+    const auto merged = autoscaler::merge_similar_demands(demands);
     // Patience of 20 s, of 10 to 20 s, and the pinned ones.
     ASSERT_EQ(merged.size(), 3 * specs.size());
     for (std::size_t i = 0; i < specs.size(); ++i) {
