--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -118,8 +118,8 @@
                 ids.push_back(job_id(10 * round + i));
                 deployment.submit(deployment.job(ids.back(), 3, 4, 60));  // a machine for each task
             }
-            const int rented = deployment.cloud.rented;
-            EXPECT_TRUE(deployment.run_until([&] { return deployment.cloud.rented > rented; }, 20))
+            const int rented = deployment.cloud.machines_rented;
+            EXPECT_TRUE(deployment.run_until([&] { return deployment.cloud.machines_rented > rented; }, 20))
                 << seed << " round " << round;
             deployment.run(0.4 * round);
             const int ends = round % 2 == 0 ? autoscaler_leader(deployment)
--- a/tests/behaviour/behaviour_trace.cpp
+++ b/tests/behaviour/behaviour_trace.cpp
@@ -219,8 +219,8 @@
                    }});
     all.push_back({"loss", {}, [](SimulatedDeployment& deployment) {
                        during(
-                           deployment, [&deployment] { deployment.network.loss = 0.05; },
-                           [&deployment] { deployment.network.loss = 0; });
+                           deployment, [&deployment] { deployment.network.loss_probability = 0.05; },
+                           [&deployment] { deployment.network.loss_probability = 0; });
                    }});
 }
 
@@ -258,7 +258,7 @@
         deployment.after(25 + 12 * round, [&deployment, round] {
             int noticed = 0;
             for (const auto& [id, worker] : deployment.workers.all())
-                if (worker.spot && worker.alive && !worker.preempted_at && noticed++ < 3)
+                if (worker.spot && worker.alive && !worker.preemption_at && noticed++ < 3)
                     deployment.workers.announce_preemption(id, 6.0 + 3 * round);
         });
 }
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -160,7 +160,7 @@
             else
                 set_links(deployment, "n0", machines, LinkState::up);
             deployment.run(12);
-            EXPECT_LT(deployment.checker.latest_cancelled_start, 1.5) << moment << " " << ends;
+            EXPECT_LT(deployment.checker.latest_start_after_cancellation_s, 1.5) << moment << " " << ends;
             expect_recovery(deployment, {runs, starts, stays}, 100);
         }
 }
@@ -210,7 +210,7 @@
     void finish() {
         deployment.store.rejected_clients.clear();
         deployment.run(25);
-        deployment.checker.troubles_over = deployment.now();
+        deployment.checker.faults_ended_at = deployment.now();
         EXPECT_EQ(deployment.workers.executing_tasks(off), 0);
         deployment.cancel(on);
         EXPECT_TRUE(all_reach_final_state(deployment, {on}, 40));
@@ -291,7 +291,7 @@
     SimulatedDeployment& deployment = s.deployment;
     deployment.store.rejected_clients.insert("n0");
     deployment.run(0.3);
-    deployment.checker.asked_to_cancel(s.off);
+    deployment.checker.cancellation_requested(s.off);
     Json record = deployment.store.data.at("z/j/" + s.off).value;
     record["x"] = true;
     deployment.set_link("n2", "n0", LinkState::drop);  // nor does n0 hear of it at once
--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -154,7 +154,7 @@
     session.start();
     EXPECT_EQ(session.lease_id(), 0U);
     env.answer("/grants", 503);
-    EXPECT_EQ(env.waiting("/grants"), 0U);
+    EXPECT_EQ(env.pending_requests("/grants"), 0U);
     env.run_for(millis(250));
     env.answer("/grants", 200, R"({"tether":7})");
     EXPECT_EQ(session.lease_id(), 7U);
@@ -172,7 +172,7 @@
         millis(250));  // the lost lease is renewed on while another is asked for; that is no further loss
     env.answer("/grants/7/touch", 404);
     EXPECT_EQ(lost, 1);
-    EXPECT_EQ(env.waiting("/grants"), 1U);
+    EXPECT_EQ(env.pending_requests("/grants"), 1U);
     env.answer("/grants", 200, R"({"tether":8})");
     env.answer("/commit", 200, R"({"epoch":9})");
     EXPECT_TRUE(session.is_open());
@@ -187,7 +187,7 @@
     env.run_for(seconds(1));
     env.answer("/grants/7/touch", 404);
     env.answer("/grants", 200, R"({"tether":8})");
-    EXPECT_EQ(env.waiting("/commit"), 1U);  // that under the old lease is still under way
+    EXPECT_EQ(env.pending_requests("/commit"), 1U);  // that under the old lease is still under way
     env.answer("/commit", 200, R"({"epoch":5})");
     EXPECT_FALSE(session.is_open());
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":6})").body.find(R"("tether":8)"), std::string::npos);
@@ -196,10 +196,10 @@
     session.restore_record();
     EXPECT_FALSE(session.is_open());
     session.restore_record();
-    EXPECT_EQ(env.waiting("/commit"), 1U);
+    EXPECT_EQ(env.pending_requests("/commit"), 1U);
     env.answer("/commit", 400);  // the lease expired meanwhile
     EXPECT_FALSE(session.is_open());
-    EXPECT_EQ(env.waiting("/grants"), 1U);
+    EXPECT_EQ(env.pending_requests("/grants"), 1U);
 }
 
 TEST_F(ClusterUnit, WatcherGoesOnFromTheFirstPageOfTheList) {
@@ -219,7 +219,7 @@
     EXPECT_EQ(state_cache.applied_revision, Revision{10});
     EXPECT_EQ(cluster_observer.read_at, asked_at);
     EXPECT_EQ(membership.live_nodes().size(), 2U);
-    EXPECT_EQ(env.waiting("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);
+    EXPECT_EQ(env.pending_requests("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);
 }
 
 TEST_F(ClusterUnit, WatcherCatchesUpAfterAStall) {
@@ -237,8 +237,8 @@
     env.answer("/watch", 200, R"({"epoch":11,"news":[]})");  // asked before the stall: proves nothing
     EXPECT_FALSE(watcher.is_up_to_date());
     env.run_for(millis(60));
-    ASSERT_GE(env.waiting("/watch?prefix=z/&after=11&hold_ms=0"), 1U);
-    while (env.waiting("/watch") > 0) env.answer("/watch", 200, R"({"epoch":12,"news":[]})");
+    ASSERT_GE(env.pending_requests("/watch?prefix=z/&after=11&hold_ms=0"), 1U);
+    while (env.pending_requests("/watch") > 0) env.answer("/watch", 200, R"({"epoch":12,"news":[]})");
     EXPECT_TRUE(watcher.is_up_to_date());
     EXPECT_EQ(state_cache.applied_revision, Revision{12});
 }
@@ -262,8 +262,8 @@
     int fresh = 0;
     for (int i = 0; i < 3; ++i) watcher.await_fresh_state([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });
     env.run_for(millis(10));
-    EXPECT_EQ(env.waiting("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);          // may hang
-    watcher.await_fresh_state([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });  // after the request below
+    EXPECT_EQ(env.pending_requests("/watch?prefix=z/&after=10&hold_ms=2000"), 1U);  // may hang
+    watcher.await_fresh_state([&](bool is_fresh) { fresh += is_fresh ? 1 : 0; });   // after the request below
     env.answer("/watch?prefix=z/&after=10&hold_ms=0", 200, R"({"epoch":10,"news":[]})");
     EXPECT_EQ(fresh, 3);
 }
@@ -276,11 +276,11 @@
     put_session("n1", 2);
     leadership.claim_shards(Revision{1});
     leadership.claim_shards(Revision{1});
-    ASSERT_EQ(env.waiting("/commit"), 1U);  // the other shard's home is alive
+    ASSERT_EQ(env.pending_requests("/commit"), 1U);  // the other shard's home is alive
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(keys::shard(0)), std::string::npos);
     EXPECT_EQ(claimed, 1);
     leadership.claim_shards(Revision{1});
-    EXPECT_EQ(env.waiting("/commit"), 0U);
+    EXPECT_EQ(env.pending_requests("/commit"), 0U);
     EXPECT_FALSE(leadership.term(0));
     leadership.announce_changes();
     EXPECT_TRUE(cluster_observer.acquired.empty());
@@ -296,14 +296,14 @@
     ShardLeadership leadership(env, settings, store, state_cache, membership, cluster_observer, [] {});
     put_session("n0", 1);
     leadership.transfer(0, Revision{1});
-    EXPECT_EQ(env.waiting("/commit"), 0U);  // to nobody
+    EXPECT_EQ(env.pending_requests("/commit"), 0U);  // to nobody
     put_session("n1", 2);
     leadership.transfer(0, Revision{1});
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("owner":"n1")"), std::string::npos);
     put_leader(0, "n1", 5);
     env.run_for(seconds(30));
     leadership.claim_shards(Revision{1});
-    EXPECT_EQ(env.waiting("/commit"), 0U);
+    EXPECT_EQ(env.pending_requests("/commit"), 0U);
     env.run_for(millis(1));
     leadership.claim_shards(Revision{1});
     EXPECT_NE(env.answer("/commit", 409).body.find(R"("owner":"n0")"), std::string::npos);
@@ -314,14 +314,14 @@
     put_session("n0", 1);
     election.campaign_if_vacant(7);
     election.campaign_if_vacant(7);
-    EXPECT_EQ(env.waiting("/commit"), 1U);
+    EXPECT_EQ(env.pending_requests("/commit"), 1U);
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("tether":7)"), std::string::npos);
     EXPECT_FALSE(election.is_won());  // the watch tells
     election.campaign_if_vacant(7);
-    EXPECT_EQ(env.waiting("/commit"), 0U);
+    EXPECT_EQ(env.pending_requests("/commit"), 0U);
     env.run_for(millis(300));
     election.campaign_if_vacant(7);
-    EXPECT_EQ(env.waiting("/commit"), 1U);
+    EXPECT_EQ(env.pending_requests("/commit"), 1U);
     state_cache.apply({keys::autoscaler_leader, Json{{"node", "n0"}}, Revision{5}});
     EXPECT_TRUE(election.is_won());
 }
--- a/tests/deployment_helpers.h
+++ b/tests/deployment_helpers.h
@@ -61,8 +61,8 @@
 
 inline void expect_no_violations(SimulatedDeployment& deployment) {
     deployment.checker.finish();
-    for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
-    EXPECT_EQ(deployment.store.oversize_write, "");
+    for (const auto& b : deployment.checker.violations) ADD_FAILURE() << b;
+    EXPECT_EQ(deployment.store.oversized_write, "");
 }
 
 inline std::vector<std::string> submit_jobs(SimulatedDeployment& deployment, int first, int jobs, int tasks,
@@ -78,9 +78,9 @@
 /// After the faults: all is told its end, in time, no capacity stood idle, and every rule held.
 inline void expect_recovery(SimulatedDeployment& deployment, const std::vector<std::string>& ids,
                             double most = 200) {
-    deployment.checker.troubles_over = deployment.now();
+    deployment.checker.faults_ended_at = deployment.now();
     EXPECT_TRUE(all_reach_final_state(deployment, ids, most));
-    deployment.checker.judge_service();
+    deployment.checker.check_service_quality();
     expect_no_violations(deployment);
 }
 
--- a/tests/fakes/cloud.cpp
+++ b/tests/fakes/cloud.cpp
@@ -83,7 +83,7 @@
         const int count = std::min({available, body["how_many"].get<int>(), max_machines_per_rental});
         if (count <= 0) return reply({503, R"({"error":"no capacity"})", -1});
         for (int i = 0; i < count; ++i) {
-            ++rented;
+            ++machines_rented;
             const FakeWorker& worker =
                 workers_.add(body["breed"].get<std::string>(), body["field"].get<std::string>(),
                              body["loaners"].get<bool>(), options_.boot_s * (0.6 + random_.chance()));
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -37,7 +37,7 @@
 
     bool outage = false;  ///< All requests get 503.
     int capacity;
-    int rented = 0;  ///< Machines rented so far.
+    int machines_rented = 0;  ///< Machines rented so far.
 
   private:
     bool take_token();
--- a/tests/fakes/controller_hosts.cpp
+++ b/tests/fakes/controller_hosts.cpp
@@ -61,11 +61,11 @@
 
 void ControllerHosts::request(std::size_t host, const std::string& from, const HttpRequest& request,
                               Reply reply) {
-    if (recorder_ != nullptr && !MessageRecorder::is_outside(request)) {
+    if (recorder_ != nullptr && !MessageRecorder::is_excluded(request)) {
         const std::string to = name(host);
-        recorder_->request(clock_.now(), MessageRecorder::Kind::asked, from, to, request);
+        recorder_->request(clock_.now(), MessageRecorder::Kind::received_request, from, to, request);
         reply = [this, from, to, inner = std::move(reply)](HttpResponse response) {
-            recorder_->response(clock_.now(), MessageRecorder::Kind::answered, to, from, response);
+            recorder_->response(clock_.now(), MessageRecorder::Kind::sent_response, to, from, response);
             inner(std::move(response));
         };
     }
--- a/tests/fakes/controller_hosts.h
+++ b/tests/fakes/controller_hosts.h
@@ -49,7 +49,7 @@
     void freeze(std::size_t host, double seconds) { hosts_[host].frozen_until = clock_.now() + seconds; }
 
     /// The host begins with production's version, told apart by its records: it knows no format levels.
-    void run_production_version(std::size_t host) { production_hosts_.insert(name(host)); }
+    void use_production_version(std::size_t host) { production_hosts_.insert(name(host)); }
     [[nodiscard]] bool runs_production_version(const std::string& name) const {
         return production_hosts_.contains(name);
     }
--- a/tests/fakes/history_checker.cpp
+++ b/tests/fakes/history_checker.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void HistoryChecker::task_on(double now, const std::string& job, int task, const std::string& machine) {
+void HistoryChecker::task_started(double now, const std::string& job, int task, const std::string& machine) {
     ++starts;
     Job& state = jobs_[job];
     ++state.starts;
@@ -22,7 +22,8 @@
     auto& executing_on = on_[{job, task}];
     if (!executing_on.empty() && !executing_on.contains(machine)) fail("ran_twice", job, task, machine);
     if (state.cancelled_at >= 0) {
-        latest_cancelled_start = std::max(latest_cancelled_start, now - state.cancelled_at);
+        latest_start_after_cancellation_s =
+            std::max(latest_start_after_cancellation_s, now - state.cancelled_at);
         if (now > state.cancelled_at + cancel_s) fail("ran_cancelled", job, task, machine);
     }
     if (!is_allowed_place(job, task, state.facts, machines_[machine]))
@@ -31,8 +32,8 @@
     check_quota(state.facts.team);
 }
 
-bool HistoryChecker::is_allowed_place(const std::string& job, int task, const JobFacts& facts,
-                                      const MachineFacts& machine) {
+bool HistoryChecker::is_allowed_place(const std::string& job, int task, const JobProperties& facts,
+                                      const MachineProperties& machine) {
     if (facts.types_given && !facts.types.contains(machine.type)) return false;
     if (!facts.zone.empty() && facts.zone != machine.zone) return false;
     if (machine.spot && !facts.spot) return false;
@@ -50,7 +51,7 @@
     return !facts.spread || in_this_zone <= (facts.tasks + 1) / 2;
 }
 
-void HistoryChecker::task_off(const std::string& job, int task, const std::string& machine) {
+void HistoryChecker::task_stopped(const std::string& job, int task, const std::string& machine) {
     const auto it = on_.find({job, task});
     if (it == on_.end() || it->second.erase(machine) == 0) return;
     count(jobs_[job].facts, -1);
@@ -65,16 +66,16 @@
     }
 }
 
-void HistoryChecker::asked(double now, const std::string& job) {
+void HistoryChecker::poll_sent(double now, const std::string& job) {
     Job& state = jobs_[job];
     if (state.silent_since < 0) state.silent_since = now;
-    if (troubles_over < 0 || !state.accepted) return;
-    if (now - std::max(state.silent_since, troubles_over) > max_silence_s)
+    if (faults_ended_at < 0 || !state.accepted) return;
+    if (now - std::max(state.silent_since, faults_ended_at) > max_silence_s)
         fail("forgotten", job, -1, "no answer for 75 s");
 }
 
-void HistoryChecker::told(double now, const std::string& job, bool submission, int status,
-                          const std::string& phase) {
+void HistoryChecker::response_received(double now, const std::string& job, bool submission, int status,
+                                       const std::string& phase) {
     const auto it = jobs_.find(job);
     const bool known = it != jobs_.end() && !it->second.facts.team.empty();
     if (status == 200 && it != jobs_.end()) it->second.silent_since = -1;
@@ -96,7 +97,7 @@
     if (phase == "withdrawn" && job.cancelled_at < 0) job.cancelled_at = now;
 }
 
-void HistoryChecker::judge_service(double begin_s) {
+void HistoryChecker::check_service_quality(double begin_s) {
     struct Served {
         int jobs = 0, done = 0;
     };
@@ -106,7 +107,7 @@
         largest[job.facts.job_class] = std::max(largest[job.facts.job_class], job.facts.tasks);
     for (const auto& [id, job] : jobs_) {
         if (!job.accepted || job.cancel_asked) continue;
-        const JobFacts& facts = job.facts;
+        const JobProperties& facts = job.facts;
         const bool is_large = facts.tasks * 5 >= largest[facts.job_class] * 4;
         const bool is_done = static_cast<int>(job.done.size()) >= facts.tasks;
         std::vector<std::string> names{"class " + facts.job_class, "team " + facts.team};
@@ -115,7 +116,8 @@
             ++groups[name].jobs;
             groups[name].done += is_done ? 1 : 0;
         }
-        if (is_large && (job.begun < 0 || job.begun - std::max(facts.at, troubles_over) > begin_s))
+        if (is_large &&
+            (job.begun < 0 || job.begun - std::max(facts.submitted_at, faults_ended_at) > begin_s))
             fail("four_minutes", id, -1, "");
     }
     for (const auto& [name, served] : groups)
@@ -131,7 +133,7 @@
         fail("quota", team, -1, "");
 }
 
-void HistoryChecker::count(const JobFacts& facts, int tasks) {
+void HistoryChecker::count(const JobProperties& facts, int tasks) {
     TeamLimit& used = used_[facts.team];
     used.cpu += facts.cpu * tasks;
     used.gpu += facts.gpu * tasks;
@@ -139,8 +141,8 @@
 
 void HistoryChecker::fail(const std::string& rule, const std::string& job, int task,
                           const std::string& more) {
-    if (broken.size() < max_violations)
-        broken.push_back(rule + ": " + job + "/" + std::to_string(task) + " " + more);
+    if (violations.size() < max_violations)
+        violations.push_back(rule + ": " + job + "/" + std::to_string(task) + " " + more);
 }
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/http_transport.cpp
+++ b/tests/fakes/http_transport.cpp
@@ -75,11 +75,11 @@
     RandomSource& random = parties_.random;
     const MessageFaults& faults = parties_.faults;
     maybe_duplicate(parties_.clock, random, faults, request, [this, machine, request] {
-        parties_.workers.handle_even_if_hung(machine, request, ignore_response);
+        parties_.workers.handle_while_hung(machine, request, ignore_response);
     });
     if (request.method == "POST" && random.happens(faults.late_commands)) {
         parties_.clock.after(2 + 14 * random.chance(), [this, machine, request] {
-            if (!parties_.network.receives_nothing.contains(machine))
+            if (!parties_.network.parties_without_inbound.contains(machine))
                 parties_.workers.handle(machine, request, ignore_response);
         });
         return;
--- a/tests/fakes/key_value_store.cpp
+++ b/tests/fakes/key_value_store.cpp
@@ -60,7 +60,7 @@
                        : std::min(rate, limit.tokens + rate * (clock_.now() - limit.refilled_at));
     limit.refilled_at = clock_.now();
     if (limit.tokens < count) {
-        ++rate_limited;
+        ++rate_limited_requests;
         return false;
     }
     limit.tokens -= count;
@@ -191,17 +191,17 @@
         return reply({429, "{}", -1});
     ++commits;
     if (is_over_lowered_limits(transaction)) {
-        ++rejected_oversize;
+        ++rejected_transactions;
         return reply({400, R"({"error":"too large"})", -1});
     }
     if (request.body.size() > max_transaction_bytes || writes.size() > max_operations ||
         transaction["if"].size() > 4 * max_operations)
-        oversize_write = "transaction";
+        oversized_write = "transaction";
     for (const auto& write : writes) {
         if (write.contains("tether") && !leases_.contains(write["tether"].get<std::uint64_t>()))
             return reply({400, R"({"error":"no such lease"})", -1});
         if (write.contains("set") && write["value"].dump().size() > max_value_bytes)
-            oversize_write = write["set"].get<std::string>();
+            oversized_write = write["set"].get<std::string>();
     }
     const Json failed = failed_preconditions(transaction);
     if (!failed.empty()) return reply({409, Json{{"failed", failed}, {"epoch", revision_}}.dump(), -1});
--- a/tests/fakes/key_value_store.h
+++ b/tests/fakes/key_value_store.h
@@ -50,17 +50,17 @@
 
     /// Requests, and keys written, per second; 0: no limit. What is over gets 429.
     double max_requests_per_s = 0, max_writes_per_s = 0;
-    std::uint64_t rate_limited = 0;  ///< Requests that got 429.
+    std::uint64_t rate_limited_requests = 0;  ///< Requests that got 429.
 
-    /// The limits that clients must keep to. What goes over them is noted in `oversize_write`, and carried
+    /// The limits that clients must keep to. What goes over them is noted in `oversized_write`, and carried
     /// out.
     std::size_t max_value_bytes = 4096, max_operations = 8;
     /// A write over the limits, if one ever came.
-    std::string oversize_write;
+    std::string oversized_write;
 
     /// From now on what is over these limits gets 400, as from a service that lowered them without notice.
     void lower_limits(std::size_t value_bytes, std::size_t operations, double writes_per_s);
-    std::uint64_t rejected_oversize = 0;  ///< Transactions that got that 400.
+    std::uint64_t rejected_transactions = 0;  ///< Transactions that got that 400.
 
     std::size_t list_page_size = 7;  ///< Items in one response to a list request.
     /// Longer responses to a watch are lost on the way; 0: none is.
--- a/tests/fakes/network.cpp
+++ b/tests/fakes/network.cpp
@@ -20,7 +20,7 @@
 }
 
 void FakeNetwork::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
-    if (receives_nothing.contains(to)) return;
+    if (parties_without_inbound.contains(to)) return;
     switch (link_state(from, to)) {
         case LinkState::drop:
             return;
@@ -30,7 +30,7 @@
         case LinkState::up:
             break;
     }
-    if (random_.happens(loss)) return;
+    if (random_.happens(loss_probability)) return;
     clock_.after(0.001 + 0.002 * random_.chance(), std::move(deliver));
 }
 
--- a/tests/fakes/network.h
+++ b/tests/fakes/network.h
@@ -33,9 +33,9 @@
     void send(const std::string& from, const std::string& to, std::function<void()> deliver);
 
     /// Share of the messages that are lost on links that are up.
-    double loss = 0;
+    double loss_probability = 0;
     /// Parties that can send, but to which every message is lost.
-    std::set<std::string> receives_nothing;
+    std::set<std::string> parties_without_inbound;
 
   private:
     using Ends = std::pair<std::string, std::string>;  // in alphabetical order
--- a/tests/fakes/simulated_deployment.cpp
+++ b/tests/fakes/simulated_deployment.cpp
@@ -89,7 +89,7 @@
     controllers.connect(transport_);
     for (int i = 0; i < options_.controllers; ++i)
         controllers.add(parse_settings(settings_text(options_, i)));
-    for (const int i : options_.production_controllers) controllers.run_production_version(index(i));
+    for (const int i : options_.production_controllers) controllers.use_production_version(index(i));
     for (const auto& [name, team] : controllers.settings(0).teams)
         checker.limits[name.value()] = {static_cast<double>(team.cpu_max) / 1000,
                                         static_cast<double>(team.gpu_max) / 1000};
--- a/tests/fakes/simulated_deployment.h
+++ b/tests/fakes/simulated_deployment.h
@@ -55,8 +55,8 @@
 };
 
 /// Composes the fakes and lets time pass. Each part owns its state and its faults: tests set `store.outage`,
-/// `network.loss`, `faults.late_commits` and the like directly; the functions here are short forms of the
-/// most common steps. Controllers are numbered from 0. All times are simulated seconds.
+/// `network.loss_probability`, `faults.late_commits` and the like directly; the functions here are short
+/// forms of the most common steps. Controllers are numbered from 0. All times are simulated seconds.
 class SimulatedDeployment {
   public:
     using Options = DeploymentOptions;
--- a/tests/fakes/task_runner.cpp
+++ b/tests/fakes/task_runner.cpp
@@ -29,7 +29,7 @@
     worker.tasks.clear();
     for (const auto& [key, task] : tasks) {
         if (task.phase == "ended") continue;
-        if (task.phase != "fetching") checker_.task_off(task.job, task.index, worker.id);
+        if (task.phase != "fetching") checker_.task_stopped(task.job, task.index, worker.id);
         if (is_gang(task.job)) gang_member_lost(task.job, task.attempt);
     }
 }
@@ -110,11 +110,11 @@
     if (task == nullptr || task->phase != "fetching") return;
     FakeWorker& worker = workers_.at(handle.machine);
     if (worker.hung) {
-        worker.while_hung.push_back([this, handle] { image_fetched(handle); });
+        worker.deferred_while_hung.push_back([this, handle] { image_fetched(handle); });
         return;
     }
     worker.images.insert(body(task->job)["cask"].get<std::string>());
-    checker_.task_on(clock_.now(), task->job, task->index, worker.id);
+    checker_.task_started(clock_.now(), task->job, task->index, worker.id);
     if (finished_[task->job].contains(task->index)) {
         task->phase = "running";
         return end(worker, handle.key, "done");
@@ -163,7 +163,7 @@
         };
         FakeWorker& where = workers_.at(handle.machine);
         if (where.hung)
-            where.while_hung.push_back(finish);
+            where.deferred_while_hung.push_back(finish);
         else
             finish();
     });
@@ -172,7 +172,7 @@
 void FakeTaskRunner::end(FakeWorker& worker, const std::string& key, const std::string& cause, bool kept) {
     FakeTask& task = worker.tasks.at(key);
     if (task.phase == "ended") return;
-    if (task.phase != "fetching") checker_.task_off(task.job, task.index, worker.id);
+    if (task.phase != "fetching") checker_.task_stopped(task.job, task.index, worker.id);
     task.phase = "ended";
     task.cause = cause;
     task.kept = kept;
@@ -185,7 +185,7 @@
         for (int i = 0; i < body(task.job)["shards"].get<int>(); ++i)
             if (gang || i == task.index) {
                 finished_[task.job].insert(i);
-                checker_.task_done(task.job, i);
+                checker_.task_completed(task.job, i);
             }
     } else if (gang) {
         gang_member_lost(task.job, task.attempt);
--- a/tests/fakes/users.cpp
+++ b/tests/fakes/users.cpp
@@ -19,12 +19,12 @@
     return body.is_object() ? body.value("phase", "") : "";
 }
 
-JobFacts facts_of(const Json& body, double now) {
-    JobFacts facts;
+JobProperties facts_of(const Json& body, double now) {
+    JobProperties facts;
     facts.team = body["crew"].get<std::string>();
     facts.tasks = body["shards"].get<int>();
     facts.job_class = body.value("ilk", "");
-    facts.at = now;
+    facts.submitted_at = now;
     facts.cpu = body["vcpus"].get<double>();
     facts.gpu = body["gpus"].get<double>();
     facts.one_zone = body["one_zone"].get<bool>();
@@ -53,18 +53,18 @@
 void FakeUsers::submit(const Json& body, int controller) {
     const std::string id = body["uid"].get<std::string>();
     jobs_[id].body = body;
-    checker_.submitted(id, facts_of(body, clock_.now()));
+    checker_.job_submitted(id, facts_of(body, clock_.now()));
     send({Kind::submit, id, {"POST", "/api/jobs", body.dump()}, controller, max_tries});
 }
 
 void FakeUsers::poll(const std::string& id, int controller) {
-    checker_.asked(clock_.now(), id);
+    checker_.poll_sent(clock_.now(), id);
     // A user has one request under way at a time: answers of two could arrive in either order.
     if (!cancelling_.contains(id)) send({Kind::poll, id, {"GET", "/api/jobs/" + id, ""}, controller, 1});
 }
 
 void FakeUsers::cancel(const std::string& id, int controller) {
-    checker_.asked_to_cancel(id);
+    checker_.cancellation_requested(id);
     cancelling_.insert(id);
     clock_.after(cancellation_delay_s, [this, id, controller] {
         send({Kind::cancel, id, {"POST", "/api/jobs/" + id + "/cancel", ""}, controller, max_tries});
@@ -113,11 +113,12 @@
 void FakeUsers::on_response(const Try& attempt, const HttpResponse& response) {
     if (std::exchange(*attempt.answered, true)) return;
     const Request& request = attempt.request;
-    slowest_response_s_ = std::max(slowest_response_s_, clock_.now() - attempt.sent_at);
+    max_response_time_s_ = std::max(max_response_time_s_, clock_.now() - attempt.sent_at);
     if (response.status < 300)
         maybe_duplicate(clock_, random_, faults_, request.http, [this, request] { duplicate(request); });
     const std::string phase = phase_of(response);
-    checker_.told(clock_.now(), request.job, request.kind == Kind::submit, response.status, phase);
+    checker_.response_received(clock_.now(), request.job, request.kind == Kind::submit, response.status,
+                               phase);
     if (response.status == 200 || response.status == 201) {
         if (request.kind == Kind::submit) jobs_[request.job].accepted = true;
         last_phases_[request.job] = phase;
@@ -131,8 +132,8 @@
     const std::size_t host = random_.draw() % controllers_.count();
     if (!controllers_.is_running(host) || controllers_.is_frozen(host)) return;
     controllers_.request(host, "copy", request.http, [this, request](const HttpResponse& response) {
-        checker_.told(clock_.now(), request.job, request.kind == Kind::submit, response.status,
-                      phase_of(response));
+        checker_.response_received(clock_.now(), request.job, request.kind == Kind::submit, response.status,
+                                   phase_of(response));
     });
 }
 
--- a/tests/fakes/users.h
+++ b/tests/fakes/users.h
@@ -40,7 +40,7 @@
     [[nodiscard]] bool is_cancelling(const std::string& id) const { return cancelling_.contains(id); }
     [[nodiscard]] const SubmittedJobs& jobs() const { return jobs_; }
     /// The longest that a user waited for an answer, in seconds.
-    [[nodiscard]] double slowest_response_s() const { return slowest_response_s_; }
+    [[nodiscard]] double max_response_time_s() const { return max_response_time_s_; }
 
   private:
     enum class Kind { submit, poll, cancel };
@@ -75,7 +75,7 @@
     SubmittedJobs jobs_;
     std::map<std::string, std::string> last_phases_;
     std::set<std::string> cancelling_;
-    double slowest_response_s_ = 0;
+    double max_response_time_s_ = 0;
 };
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/waiting_job_monitor.cpp
+++ b/tests/fakes/waiting_job_monitor.cpp
@@ -19,7 +19,7 @@
 }
 
 bool accepts_tasks(const FakeWorker& worker) {
-    return worker.alive && !worker.hung && !worker.faulty && !worker.preempted_at && worker.has_booted() &&
+    return worker.alive && !worker.hung && !worker.faulty && !worker.preemption_at && worker.has_booted() &&
            worker.fencing_token > 0;
 }
 
@@ -27,7 +27,7 @@
 
 void WaitingJobMonitor::tick() {
     const double now = clock_.now();
-    if (checker_.troubles_over < 0 || static_cast<std::uint64_t>(now * 10) % 10 != 0) return;
+    if (checker_.faults_ended_at < 0 || static_cast<std::uint64_t>(now * 10) % 10 != 0) return;
     const Usage usage = current_usage();
     for (const auto& [id, job] : users_.jobs()) {
         if (!could_start(id, job, usage)) {
@@ -35,8 +35,8 @@
             continue;
         }
         double& since = could_start_since_.try_emplace(id, now).first->second;
-        if (now - std::max(since, checker_.troubles_over) > max_wait_s) {
-            checker_.waited_with_room(id);
+        if (now - std::max(since, checker_.faults_ended_at) > max_wait_s) {
+            checker_.job_waited_despite_capacity(id);
             since = now;
         }
     }
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -34,15 +34,15 @@
     bool hung = false;    ///< Executes nothing for now; its lease runs on.
     bool faulty = false;  ///< All tasks on it fail.
     double created_at = 0;
-    std::optional<double> preempted_at;  ///< When the cloud will take it, if that was announced.
+    std::optional<double> preemption_at;  ///< When the cloud will take it, if that was announced.
 
-    std::map<std::string, FakeTask> tasks;          ///< By "job/index#attempt".
-    std::set<std::string> images;                   ///< That were fetched.
-    std::vector<std::function<void()>> while_hung;  ///< Carried out when it no longer hangs.
+    std::map<std::string, FakeTask> tasks;                   ///< By "job/index#attempt".
+    std::set<std::string> images;                            ///< That were fetched.
+    std::vector<std::function<void()>> deferred_while_hung;  ///< Carried out when it no longer hangs.
 
-    std::uint64_t agent_epoch = 1;    ///< Rises when its lease expires.
-    std::uint64_t fencing_token = 0;  ///< The highest that a leader showed; lower ones are rejected.
-    double token_changed_at = -1e9;   ///< When a higher token last prompted a heartbeat.
+    std::uint64_t agent_epoch = 1;          ///< Rises when its lease expires.
+    std::uint64_t fencing_token = 0;        ///< The highest that a leader showed; lower ones are rejected.
+    double last_token_heartbeat_at = -1e9;  ///< When a higher token last prompted a heartbeat.
     double lease_renewed_at = 0;
 
     std::optional<std::size_t> controller;  ///< Where it sends heartbeats; none before it has booted.
--- a/tests/fakes/workers.cpp
+++ b/tests/fakes/workers.cpp
@@ -48,7 +48,7 @@
     worker.faulty = new_machines_are_faulty;
     worker.created_at = clock_.now();
     const std::string id = worker.id;
-    checker_.machine(id, {type, zone, spot});
+    checker_.machine_added(id, {type, zone, spot});
     by_address_[worker.address] = id;
     FakeWorker& added = workers_[id] = std::move(worker);
     clock_.after(boot_s, [this, id] {
@@ -82,14 +82,14 @@
         const auto found = workers_.find(id);
         if (found == workers_.end()) return;
         found->second.hung = false;
-        const auto late = std::move(found->second.while_hung);
+        const auto late = std::move(found->second.deferred_while_hung);
         for (const auto& carry_out : late)
             if (workers_.contains(id)) carry_out();
     });
 }
 
 void FakeWorkers::announce_preemption(const std::string& id, double in_s) {
-    workers_.at(id).preempted_at = clock_.now() + in_s;
+    workers_.at(id).preemption_at = clock_.now() + in_s;
     clock_.after(in_s, [this, id] { crash(id); });
 }
 
@@ -129,7 +129,7 @@
                    {"baton", worker.fencing_token},
                    {"shards", list},
                    {"warning_s", nullptr}};
-    if (worker.preempted_at) report["warning_s"] = std::max(0.0, *worker.preempted_at - clock_.now());
+    if (worker.preemption_at) report["warning_s"] = std::max(0.0, *worker.preemption_at - clock_.now());
     return report.dump();
 }
 
@@ -155,7 +155,7 @@
     const std::size_t controller = heartbeat.controller;
     auto try_next = [this, heartbeat] { finish(heartbeat, retry_delay_s, heartbeat.controller + 1); };
     clock_.after(heartbeat_timeout_s, try_next);
-    if (!controllers_.is_running(controller) || heartbeats_fail.contains(worker.id)) {
+    if (!controllers_.is_running(controller) || machines_without_heartbeats.contains(worker.id)) {
         clock_.after(0.01, try_next);
         return;
     }
@@ -226,12 +226,12 @@
             respond(worker->second, request, reply);
     };
     if (found->second.hung)
-        found->second.while_hung.push_back(carry_out);
+        found->second.deferred_while_hung.push_back(carry_out);
     else
         carry_out();
 }
 
-void FakeWorkers::handle_even_if_hung(const std::string& id, const HttpRequest& request, const Reply& reply) {
+void FakeWorkers::handle_while_hung(const std::string& id, const HttpRequest& request, const Reply& reply) {
     const auto found = workers_.find(id);
     if (found != workers_.end() && found->second.alive) respond(found->second, request, reply);
 }
@@ -249,8 +249,9 @@
 
 void FakeWorkers::accept_token(FakeWorker& worker, std::uint64_t token) {
     // A higher token prompts a heartbeat at most once in half of a lease.
-    if (token > worker.fencing_token && clock_.now() - worker.token_changed_at >= options_.lease_s / 2) {
-        worker.token_changed_at = clock_.now();
+    if (token > worker.fencing_token &&
+        clock_.now() - worker.last_token_heartbeat_at >= options_.lease_s / 2) {
+        worker.last_token_heartbeat_at = clock_.now();
         worker.prompt_heartbeat(clock_.now());
     }
     worker.fencing_token = token;
--- a/tests/fakes/workers.h
+++ b/tests/fakes/workers.h
@@ -47,7 +47,7 @@
 
     /// A direct request to a worker: a command, or a request for its state.
     void handle(const std::string& id, const HttpRequest& request, const Reply& reply);
-    void handle_even_if_hung(const std::string& id, const HttpRequest& request, const Reply& reply);
+    void handle_while_hung(const std::string& id, const HttpRequest& request, const Reply& reply);
 
     /// The heartbeat that the machine would send now arrives at that controller after `delay`.
     void duplicate_heartbeat(const std::string& id, std::size_t controller, double delay);
@@ -55,7 +55,7 @@
     void replay_kept_heartbeats();
 
     /// Machines that reach no controller, while direct commands reach them.
-    std::set<std::string> heartbeats_fail;
+    std::set<std::string> machines_without_heartbeats;
     /// All tasks fail on machines created from now on.
     bool new_machines_are_faulty = false;
     FakeTaskRunner tasks;
--- a/tests/jobs_api_test.cpp
+++ b/tests/jobs_api_test.cpp
@@ -115,12 +115,13 @@
             reads.watch(jobs, 0.7);
         }
         reads.watch(jobs, 25);
-        EXPECT_GT(reads.answered, 2000);
-        EXPECT_LT(reads.deferred, reads.answered / 4) << seed;
-        EXPECT_LT(reads.longest_lag, 3) << seed;
+        EXPECT_GT(reads.successful_responses, 2000);
+        EXPECT_LT(reads.retry_responses, reads.successful_responses / 4) << seed;
+        EXPECT_LT(reads.max_completion_lag_s, 3) << seed;
         // Each was told its end by these reads alone.
         for (const auto& id : ids)
-            EXPECT_TRUE(reads.newest(id) == "done" || reads.newest(id) == "withdrawn") << id;
+            EXPECT_TRUE(reads.latest_known_state(id) == "done" || reads.latest_known_state(id) == "withdrawn")
+                << id;
         expect_recovery(deployment, ids, 20);
     }
 }
@@ -159,7 +160,7 @@
                 });
         }
     }
-    void ask_all() {
+    void poll_all() {
         for (const auto& body : never) ask(body, 422);
         for (const auto& body : lacking) ask(body, 400);
         for (const auto& body : unfinished) ask(body, 200);
@@ -213,12 +214,12 @@
             trouble(true);
             for (int i = 0; i < 12; ++i) {
                 deployment.run(0.5);
-                odd.ask_all();
+                odd.poll_all();
             }
             trouble(false);
             for (int i = 0; i < 6; ++i) {
                 deployment.run(0.5);
-                odd.ask_all();
+                odd.poll_all();
             }
         }
         deployment.run(5);
--- a/tests/leases_and_failover_test.cpp
+++ b/tests/leases_and_failover_test.cpp
@@ -380,14 +380,14 @@
         std::vector<std::string> cut;
         for (auto& [id, m] : deployment.workers.all()) {
             if (++i % 3 == 0) cut.push_back(id);
-            if (i % 3 == 1) deployment.network.receives_nothing.insert(id);
+            if (i % 3 == 1) deployment.network.parties_without_inbound.insert(id);
         }
         for (const auto& id : cut)
             for (int n = 0; n < 3; ++n)
                 deployment.set_link(id, deployment.controller_name(n), LinkState::hold);
         deployment.crash_controller(static_cast<int>(seed) % 3);
         deployment.run(16);
-        deployment.network.receives_nothing.clear();
+        deployment.network.parties_without_inbound.clear();
         for (const auto& id : cut)
             for (int n = 0; n < 3; ++n) deployment.set_link(id, deployment.controller_name(n), LinkState::up);
         deployment.start_controller(static_cast<int>(seed) % 3);
--- a/tests/manual_env.h
+++ b/tests/manual_env.h
@@ -53,7 +53,7 @@
     void stall(Duration duration) { now_ += duration; }
 
     /// How many unanswered requests there are whose path begins so.
-    [[nodiscard]] std::size_t waiting(const std::string& path) const {
+    [[nodiscard]] std::size_t pending_requests(const std::string& path) const {
         return static_cast<std::size_t>(
             std::count_if(requests.begin(), requests.end(),
                           [&](const Request& request) { return request.http.path.rfind(path, 0) == 0; }));
--- a/tests/message_faults_test.cpp
+++ b/tests/message_faults_test.cpp
@@ -118,7 +118,7 @@
         deployment.run(20);
         expect_recovery(deployment, ids, 120);
         // No machine hung for a lease: the long tasks ran on.
-        EXPECT_EQ(deployment.checker.starts_of(job_id(1)), 12) << seed;
+        EXPECT_EQ(deployment.checker.start_count(job_id(1)), 12) << seed;
     }
 }
 
@@ -160,8 +160,8 @@
         deployment.faults.late_commands = 0;
         expect_recovery(deployment, ids, 200);
         // Three machines of four tasks each are cleared for each gang.
-        EXPECT_GT(deployment.checker.starts_of(job_id(1)), 24) << seed;
-        EXPECT_LE(deployment.checker.starts_of(job_id(1)), 24 + 3 * 12) << seed;
+        EXPECT_GT(deployment.checker.start_count(job_id(1)), 24) << seed;
+        EXPECT_LE(deployment.checker.start_count(job_id(1)), 24 + 3 * 12) << seed;
     }
 }
 
@@ -196,7 +196,7 @@
         deployment.run(10);
         deployment.faults.heartbeats_replayed_to_next_leader = 0;
         expect_recovery(deployment, ids, 220);
-        EXPECT_EQ(deployment.checker.starts_of(job_id(1)), 12) << seed;
+        EXPECT_EQ(deployment.checker.start_count(job_id(1)), 12) << seed;
     }
 }
 
--- a/tests/message_recorder.cpp
+++ b/tests/message_recorder.cpp
@@ -17,9 +17,9 @@
             return "request";
         case MessageRecorder::Kind::response:
             return "response";
-        case MessageRecorder::Kind::asked:
+        case MessageRecorder::Kind::received_request:
             return "asked";
-        case MessageRecorder::Kind::answered:
+        case MessageRecorder::Kind::sent_response:
             return "answered";
         case MessageRecorder::Kind::frame:
             return "frame";
@@ -70,7 +70,7 @@
     line(now, Kind::write, "state", key, content, content);
 }
 
-bool MessageRecorder::is_outside(const zincdyke::HttpRequest& request) {
+bool MessageRecorder::is_excluded(const zincdyke::HttpRequest& request) {
     return request.path.rfind("/internal/status", 0) == 0;
 }
 
--- a/tests/message_recorder.h
+++ b/tests/message_recorder.h
@@ -18,12 +18,12 @@
 class MessageRecorder {
   public:
     enum class Kind {
-        request,   ///< sent by a controller over HTTP
-        response,  ///< given to a controller, also the empty one when time is up
-        asked,     ///< a request that arrives at a controller
-        answered,  ///< the controller's reply to it
-        frame,     ///< sent by a controller to a peer
-        write,     ///< carried out by the state service
+        request,           ///< sent by a controller over HTTP
+        response,          ///< given to a controller, also the empty one when time is up
+        received_request,  ///< a request that arrives at a controller
+        sent_response,     ///< the controller's reply to it
+        frame,             ///< sent by a controller to a peer
+        write,             ///< carried out by the state service
     };
 
     explicit MessageRecorder(const std::string& file);
@@ -37,7 +37,7 @@
     void write(double now, std::string_view key, std::uint64_t revision, const std::string* value);
 
     /// What is asked of a controller under this path, and the answer, is no behaviour that the records hold.
-    static bool is_outside(const zincdyke::HttpRequest& request);
+    static bool is_excluded(const zincdyke::HttpRequest& request);
 
     std::uint64_t messages() const { return messages_; }
     /// False if anything could not be written.
--- a/tests/partitions_test.cpp
+++ b/tests/partitions_test.cpp
@@ -60,7 +60,7 @@
     std::string machine;
     for (auto& [id, m] : deployment.workers.all())
         if (deployment.store.placed_tasks(id) > 0) machine = id;
-    deployment.network.receives_nothing.insert(machine);
+    deployment.network.parties_without_inbound.insert(machine);
     deployment.run(26);
     EXPECT_EQ(deployment.store.placed_tasks(machine), 0);
     // Work for every machine there is: this one must be left out as long as it does not answer.
@@ -81,7 +81,7 @@
     SimulatedDeployment deployment;
     deployment.run(3);
     const std::string machine = deployment.workers.add("small", "a", false, 0.1).id;
-    deployment.network.receives_nothing.insert(machine);
+    deployment.network.parties_without_inbound.insert(machine);
     deployment.run(2);
     auto ids = submit_jobs(deployment, 1, 2, 4, 6);
     for (int i = 0; i < 60; ++i) {
@@ -189,7 +189,8 @@
                        deployment.workers.executing_tasks(job_id(2)) == 8;
             },
             60));
-        for (auto& [id, m] : deployment.workers.all()) deployment.workers.heartbeats_fail.insert(id);
+        for (auto& [id, m] : deployment.workers.all())
+            deployment.workers.machines_without_heartbeats.insert(id);
         deployment.cancel(job_id(1), 0);
         ASSERT_TRUE(deployment.run_until([&] { return deployment.last_phase(job_id(1)) == "withdrawn"; }, 4));
         deployment.run(0.5);
@@ -197,7 +198,7 @@
         EXPECT_EQ(deployment.workers.executing_tasks(job_id(2)), 8);
         if (seed == 2) deployment.crash_controller(1);
         deployment.run(24);
-        deployment.workers.heartbeats_fail.clear();
+        deployment.workers.machines_without_heartbeats.clear();
         deployment.start_controller(1);
         deployment.run(5);
         expect_recovery(deployment, {job_id(1), job_id(2)});
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -107,7 +107,7 @@
     }
     deployment.run(100);
     for (const auto& id : {job_id(1), job_id(2)}) EXPECT_TRUE(deployment.checker.all_done(id)) << id;
-    deployment.checker.judge_service();
+    deployment.checker.check_service_quality();
     expect_no_violations(deployment);
 }
 
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -95,14 +95,14 @@
                 }
                 break;
             case 8:
-                deployment.network.loss = 0.05;
-                deployment.after(3, [&deployment] { deployment.network.loss = 0; });
+                deployment.network.loss_probability = 0.05;
+                deployment.after(3, [&deployment] { deployment.network.loss_probability = 0; });
                 break;
             case 9:
                 if (!machine.empty()) {
-                    deployment.network.receives_nothing.insert(machine);
+                    deployment.network.parties_without_inbound.insert(machine);
                     deployment.after(2 + 25 * deployment.chance(), [&deployment, machine] {
-                        deployment.network.receives_nothing.erase(machine);
+                        deployment.network.parties_without_inbound.erase(machine);
                     });
                 }
                 break;
@@ -158,9 +158,9 @@
         deployment.run(1.9 + 0.2 * deployment.chance());
     }
     deployment.run(25);
-    deployment.checker.troubles_over = deployment.now();
+    deployment.checker.faults_ended_at = deployment.now();
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 400));
-    deployment.checker.judge_service();
+    deployment.checker.check_service_quality();
     expect_no_violations(deployment);
 }
 // ZINCDYKE_SEEDS asks for a longer hunt by hand; the usual run has a fixed dozen.
@@ -241,12 +241,13 @@
                 });
                 break;
             case 7:
-                for (const auto& id : some) deployment.network.receives_nothing.insert(id);
-                deployment.after(s, [&deployment] { deployment.network.receives_nothing.clear(); });
+                for (const auto& id : some) deployment.network.parties_without_inbound.insert(id);
+                deployment.after(s, [&deployment] { deployment.network.parties_without_inbound.clear(); });
                 break;
             case 8:
-                for (const auto& id : some) deployment.workers.heartbeats_fail.insert(id);
-                deployment.after(s, [&deployment] { deployment.workers.heartbeats_fail.clear(); });
+                for (const auto& id : some) deployment.workers.machines_without_heartbeats.insert(id);
+                deployment.after(s,
+                                 [&deployment] { deployment.workers.machines_without_heartbeats.clear(); });
                 break;
             case 9:
                 deployment.faults.late_commits = 0.4;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -91,9 +91,9 @@
     }
     void expect_no_violations() {
         deployment.checker.finish();
-        deployment.checker.judge_service();
-        for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
-        EXPECT_EQ(deployment.store.oversize_write, "");
+        deployment.checker.check_service_quality();
+        for (const auto& b : deployment.checker.violations) ADD_FAILURE() << b;
+        EXPECT_EQ(deployment.store.oversized_write, "");
     }
 };
 
@@ -352,8 +352,8 @@
     }
     EXPECT_EQ(left(), 0);
     deployment.checker.finish();
-    deployment.checker.judge_service();
-    for (const auto& b : deployment.checker.broken) ADD_FAILURE() << b;
+    deployment.checker.check_service_quality();
+    for (const auto& b : deployment.checker.violations) ADD_FAILURE() << b;
 }
 
 // Machines are taken without notice while a controller crashes.
@@ -435,7 +435,7 @@
     EXPECT_LT(conflicts * 20, commits);
     // Starts and ends share writes: fewer than one for each start.
     EXPECT_LT(writes, starts);
-    deployment.checker.judge_service();
+    deployment.checker.check_service_quality();
     expect_no_violations(deployment);
 }
 
@@ -486,7 +486,7 @@
     int cancelled = 0;
     for (const auto& id : ids) cancelled += deployment.last_phase(id) == "withdrawn" ? 1 : 0;
     EXPECT_GT(cancelled, jobs / 10);
-    EXPECT_LT(deployment.checker.latest_cancelled_start, 3);
+    EXPECT_LT(deployment.checker.latest_start_after_cancellation_s, 3);
 }
 
 }  // namespace
--- a/tests/store_faults_test.cpp
+++ b/tests/store_faults_test.cpp
@@ -148,7 +148,7 @@
         }
         reads.watch(jobs, 12);
         deployment.faults.lost_commit_responses = 0;
-        EXPECT_GT(reads.answered, 500);
+        EXPECT_GT(reads.successful_responses, 500);
         expect_recovery(deployment, ids, 60);
         EXPECT_LE(deployment.checker.starts, 24) << seed;
         expect_no_quota_in_use(deployment, {"blue"});
--- a/tests/upgrade_faults_test.cpp
+++ b/tests/upgrade_faults_test.cpp
@@ -192,7 +192,7 @@
     all.insert(all.end(), services.begin(), services.end());
     expect_recovery(deployment, all, settle_s);
     EXPECT_TRUE(all_at_new_level());
-    EXPECT_LE(deployment.store.rejected_oversize, 20U);
+    EXPECT_LE(deployment.store.rejected_transactions, 20U);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, UpgradeFaults, ::testing::Range<std::uint64_t>(900, 900 + seeds()));
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -253,7 +253,7 @@
     ids.push_back(job_id(4));
     deployment.submit(deployment.job(ids[3], 300, 0.5, 10));
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
-    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    EXPECT_EQ(deployment.store.rejected_transactions, 0U);
     expect_no_violations(deployment);
 }
 INSTANTIATE_TEST_SUITE_P(Orders, RollingUpgrade, ::testing::Range(0, 6));
@@ -324,7 +324,7 @@
     deployment.start_controller(GetParam() % 3);
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
     // Whatever was drafted before the level was known may be refused, never again and again.
-    EXPECT_LE(deployment.store.rejected_oversize, 10U);
+    EXPECT_LE(deployment.store.rejected_transactions, 10U);
     expect_no_violations(deployment);
     EXPECT_TRUE(deployment.run_until(
         [&] { return keys_with(deployment, "z/r/") + keys_with(deployment, "z/t/") == 0; }, 60));
@@ -346,7 +346,7 @@
     ASSERT_TRUE(reaches_level(deployment, zincdyke::FormatLevel::small_pages, 10));
     deployment.store.lower_limits(2048, 4, 30);
     EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 400));
-    EXPECT_LE(deployment.store.rejected_oversize, 10U);
+    EXPECT_LE(deployment.store.rejected_transactions, 10U);
     expect_no_violations(deployment);
 }
 
@@ -372,7 +372,7 @@
     deployment.run(2);
     deployment.start_controller(0);
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
-    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    EXPECT_EQ(deployment.store.rejected_transactions, 0U);
     expect_no_violations(deployment);
 }
 
@@ -397,7 +397,7 @@
     deployment.cancel(job_id(1));
     EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 30));
     EXPECT_TRUE(deployment.run_until([&] { return !deployment.store.data.contains(key); }, 30));
-    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    EXPECT_EQ(deployment.store.rejected_transactions, 0U);
     expect_no_violations(deployment);
 }
 
@@ -411,7 +411,7 @@
     ASSERT_GT(body.dump().size(), 2048U);
     deployment.submit(body);
     EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 60));
-    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    EXPECT_EQ(deployment.store.rejected_transactions, 0U);
     expect_no_violations(deployment);
 }
 
@@ -428,8 +428,8 @@
     EXPECT_EQ(level_of(deployment, 0), 0U);
     EXPECT_EQ(keys_with(deployment, "z/r/"), 0U);
     EXPECT_FALSE(deployment.store.data.at("z/j/" + job_id(1)).value.contains("pages"));
-    EXPECT_GT(deployment.store.rejected_oversize, 0U);
-    EXPECT_LE(deployment.store.rejected_oversize, 20U);
+    EXPECT_GT(deployment.store.rejected_transactions, 0U);
+    EXPECT_LE(deployment.store.rejected_transactions, 20U);
     deployment.upgrade_controller(2);
     EXPECT_TRUE(all_reach_final_state(deployment, {job_id(1)}, 200));
     expect_no_violations(deployment);
@@ -444,8 +444,8 @@
     ASSERT_TRUE(deployment.run_until([&] { return deployment.workers.executing_tasks(job_id(1)) == 8; }, 60));
     deployment.store.lower_limits(4, 8, 0);
     deployment.run(30);
-    EXPECT_GT(deployment.store.rejected_oversize, 0U);
-    EXPECT_LE(deployment.store.rejected_oversize, 20U);
+    EXPECT_GT(deployment.store.rejected_transactions, 0U);
+    EXPECT_LE(deployment.store.rejected_transactions, 20U);
     expect_no_violations(deployment);
 }
 
@@ -462,7 +462,7 @@
         deployment.submit(deployment.job(ids.back(), 1, 0.5, 4, "blue"));
     }
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 200));
-    EXPECT_EQ(deployment.store.rejected_oversize, 0U);
+    EXPECT_EQ(deployment.store.rejected_transactions, 0U);
     expect_no_violations(deployment);
 }
 
@@ -499,12 +499,12 @@
     deployment.run(4);
     auto ids = submit_jobs(deployment, 1, 30, 3, 5);
     deployment.run(10);
-    deployment.store.rate_limited = 0;
+    deployment.store.rate_limited_requests = 0;
     deployment.store.lower_limits(2048, 4, 20);
     auto more = submit_jobs(deployment, 100, 150, 2, 5);
     ids.insert(ids.end(), more.begin(), more.end());
     EXPECT_TRUE(all_reach_final_state(deployment, ids, 300));
-    EXPECT_LE(deployment.store.rate_limited, 10U);
+    EXPECT_LE(deployment.store.rate_limited_requests, 10U);
     expect_no_violations(deployment);
 }
 
