--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -76,7 +76,7 @@
     FakeWorker& m = deployment.workers.all().at(machine);
     m.controller = static_cast<std::size_t>(leader);  // its next try, still within its lease
     m.heartbeat_in_flight = 0;
-    m.next_heartbeat = deployment.now();
+    m.next_heartbeat_at = deployment.now();
     for (int i = 0; i < 40; ++i) {
         deployment.run(1);
         EXPECT_EQ(deployment.workers.executing_tasks(job), 0);
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -1,4 +1,4 @@
-/// The simulated cloud that machines are rented from.
+/// A simulated cloud from which the controllers rent machines.
 #pragma once
 #include <map>
 #include <string>
@@ -14,16 +14,17 @@
 
 using wire::Json;
 
-/// Serves the cloud's HTTP API: two machine types ("small": 4 CPUs; "gpu": 8 CPUs, 2 GPUs) in the given
-/// zones. A new machine is listed 3 s after it was rented, and boots in 0.6 to 1.6 times `boot_s`.
+/// A fake of the cloud's HTTP API. It offers two machine types ("small" with 4 CPUs; "gpu" with 8 CPUs and 2
+/// GPUs) in the configured zones. A rented machine appears in the list of machines after 3 s and takes 0.6 to
+/// 1.6 times `boot_s` to boot.
 class FakeCloud {
   public:
     struct Options {
         std::vector<std::string> zones;
         double boot_s = 5;
-        double max_requests_per_s =
-            0;              ///< 0: no limit. What is over gets 429, after a burst of twice the rate.
-        int capacity = 40;  ///< Machines that exist at a time.
+        /// Rate limit; requests over it get status 429. Bursts of twice the rate are allowed. 0: no limit.
+        double max_requests_per_s = 0;
+        int capacity = 40;  ///< Maximum number of machines that exist at the same time.
     };
     FakeCloud(Options options, SimulatedClock& clock, RandomSource& random, FakeWorkers& workers)
         : capacity(options.capacity),
@@ -32,12 +33,12 @@
           random_(random),
           workers_(workers) {}
 
-    /// Carries out one request and replies within this call.
+    /// Executes an HTTP request to the cloud and calls `reply` before it returns.
     void handle(const HttpRequest& request, const Reply& reply);
 
-    bool outage = false;  ///< All requests get 503.
-    int capacity;
-    int machines_rented = 0;  ///< Machines rented so far.
+    bool outage = false;      ///< If true, the cloud answers every request with status 503.
+    int capacity;             ///< Maximum number of machines that exist at the same time.
+    int machines_rented = 0;  ///< Total number of machines rented since the start.
 
   private:
     bool take_token();
@@ -50,7 +51,8 @@
     SimulatedClock& clock_;
     RandomSource& random_;
     FakeWorkers& workers_;
-    std::map<std::string, std::vector<std::string>> machines_of_rental_;  // a repeated request gets the same
+    std::map<std::string, std::vector<std::string>>
+        machines_of_rental_;  // by rental id, for idempotent requests
     double tokens_ = 0, refilled_at_ = -1;
 };
 
--- a/tests/fakes/controller_hosts.h
+++ b/tests/fakes/controller_hosts.h
@@ -1,4 +1,4 @@
-/// The controllers of a simulated deployment and the processes that they run in.
+/// The simulated hosts and processes of a deployment's controllers.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,57 +18,62 @@
 
 class HttpTransport;
 
-/// Runs real controllers (Node) on simulated hosts, numbered from 0 and named "n0", "n1" and so on. A process
-/// can crash, start, be upgraded or freeze.
+/// Runs real controllers (Node) on simulated hosts, one process per host. Hosts are numbered from 0 and named
+/// "n0", "n1" and so on. Tests can start, crash, upgrade and freeze the processes.
 class ControllerHosts {
   public:
     ControllerHosts(SimulatedClock& clock, RandomSource& random, FakeNetwork& network,
                     MessageRecorder* recorder)
         : clock_(clock), random_(random), network_(network), recorder_(recorder) {}
 
-    /// Adds a host whose process doesn't run yet.
+    /// Adds a host with the given controller settings, without starting its process.
     void add(Settings settings);
-    /// Where the controllers' HTTP requests go. To be called once, before any controller starts.
+    /// Sets the transport for the controllers' HTTP requests. Must be called once, before any controller
+    /// starts.
     void connect(HttpTransport& transport) { transport_ = &transport; }
 
     [[nodiscard]] std::size_t count() const { return hosts_.size(); }
     [[nodiscard]] static std::string name(std::size_t host) { return "n" + std::to_string(host); }
     [[nodiscard]] bool is_running(std::size_t host) const { return hosts_[host].node != nullptr; }
     [[nodiscard]] bool is_frozen(std::size_t host) const { return hosts_[host].frozen_until > clock_.now(); }
-    /// Only while it runs.
+    /// Returns the controller on a host. The host's process must be running.
     [[nodiscard]] Node& node(std::size_t host) { return *hosts_[host].node; }
     [[nodiscard]] const Settings& settings(std::size_t host) const { return hosts_[host].settings; }
-    /// Changes with each start and crash: what belongs to an earlier one is no longer delivered.
+    /// Returns the number of the process incarnation on a host. It changes with each start and crash; timers
+    /// and messages of an earlier incarnation are not delivered.
     [[nodiscard]] std::uint64_t incarnation(std::size_t host) const { return hosts_[host].incarnation; }
 
-    /// Does nothing if it runs.
+    /// Starts the host's process. Does nothing if the process is already running.
     void start(std::size_t index);
     void crash(std::size_t index);
-    /// The process stands still for so many seconds while clocks run on. What comes meanwhile waits, and is
-    /// handled before the process's own timers.
+    /// Suspends the process for `seconds` while its clock continues. Messages that arrive meanwhile are
+    /// delivered when the process resumes, before its own timers run.
     void freeze(std::size_t host, double seconds) { hosts_[host].frozen_until = clock_.now() + seconds; }
 
-    /// The host begins with production's version, told apart by its records: it knows no format levels.
+    /// Makes the host run the production version until it is upgraded. The production version is simulated by
+    /// dropping the writes of format level records, which it doesn't support.
     void use_production_version(std::size_t host) { production_hosts_.insert(name(host)); }
     [[nodiscard]] bool runs_production_version(const std::string& name) const {
         return production_hosts_.contains(name);
     }
-    /// Ends the process and starts it after so many seconds with the new version.
+    /// Stops the process and starts the new version after `down_s` seconds.
     void upgrade(std::size_t host, double down_s);
 
-    /// Runs `fn` if that incarnation still runs; if it is frozen, `delay` seconds after it goes on.
+    /// Runs `fn` if the given incarnation of the host's process is running. If the process is frozen, `fn`
+    /// runs `delay` seconds after the process resumes.
     void deliver(std::size_t index, std::uint64_t incarnation, double delay, std::function<void()> fn);
-    /// A peer's frame arrives.
+    /// Delivers a frame that a peer sent to the controller `to`.
     void deliver_frame(const NodeName& from, const NodeName& to, const std::string& frame);
-    /// An HTTP request arrives at a controller that runs; all requests to controllers pass here. `from` is
-    /// for the recorder alone.
+    /// Delivers an HTTP request to a running controller. All requests to controllers use this function.
+    /// `from` names the sender for the message recorder.
     void request(std::size_t host, const std::string& from, const HttpRequest& request, Reply reply);
 
-    /// The most requests to workers that a controller had open at a time.
+    /// Returns the maximum number of requests to workers that a controller had open at the same time.
     [[nodiscard]] std::size_t max_open_worker_requests() const { return max_open_worker_requests_; }
+    /// Updates the maximum number of open requests to workers.
     void note_open_worker_requests(std::size_t count);
 
-    // What the controllers' environments work with.
+    // Shared objects for the environments (SimEnv) of the controllers.
     [[nodiscard]] SimulatedClock& clock() { return clock_; }
     [[nodiscard]] RandomSource& random() { return random_; }
     [[nodiscard]] FakeNetwork& network() { return network_; }
@@ -78,8 +83,8 @@
   private:
     struct Host {
         Settings settings;
-        std::unique_ptr<SimEnv> env;  // outlives the node
-        std::unique_ptr<Node> node;   // null: the process doesn't run
+        std::unique_ptr<SimEnv> env;  // must outlive the node, which uses it
+        std::unique_ptr<Node> node;   // null if the process is not running
         std::uint64_t incarnation = 0;
         double frozen_until = 0;
     };
--- a/tests/fakes/http_transport.cpp
+++ b/tests/fakes/http_transport.cpp
@@ -16,21 +16,21 @@
 }  // namespace
 
 void maybe_duplicate(SimulatedClock& clock, RandomSource& random, const MessageFaults& faults,
-                     const HttpRequest& request, std::function<void()> carry_out) {
+                     const HttpRequest& request, std::function<void()> execute) {
     if (request.method == "POST" && random.happens(faults.duplicate_requests))
-        clock.after(faults.duplicate_request_delay_s * random.chance(), std::move(carry_out));
+        clock.after(faults.duplicate_request_delay_s * random.chance(), std::move(execute));
 }
 
 void HttpTransport::request(const std::string& from, const std::string& address, const HttpRequest& request,
                             Reply reply) {
-    if (is_unknown_to_sender(from, request)) return;
+    if (is_unsupported_by_sender(from, request)) return;
     if (address == store_address) return to_store(from, request, reply);
     if (address == cloud_address) return to_cloud(from, request, reply);
     const std::optional<std::string> machine = parties_.workers.find_by_address(address);
     if (machine) to_worker(from, *machine, request, reply);
 }
 
-bool HttpTransport::is_unknown_to_sender(const std::string& from, const HttpRequest& request) const {
+bool HttpTransport::is_unsupported_by_sender(const std::string& from, const HttpRequest& request) const {
     return is_commit(request) && request.body.find("\"z/v/") != std::string::npos &&
            parties_.controllers.runs_production_version(from);
 }
@@ -39,16 +39,18 @@
     SimulatedClock& clock = parties_.clock;
     RandomSource& random = parties_.random;
     const MessageFaults& faults = parties_.faults;
-    auto without_response = [this, from, request] { parties_.store.handle(from, request, ignore_response); };
-    maybe_duplicate(clock, random, faults, request, without_response);
+    auto execute_without_response = [this, from, request] {
+        parties_.store.handle(from, request, ignore_response);
+    };
+    maybe_duplicate(clock, random, faults, request, execute_without_response);
     if (is_commit(request) && random.happens(faults.late_commits)) {
-        clock.after(2 + 10 * random.chance(), without_response);
+        clock.after(2 + 10 * random.chance(), execute_without_response);
         return;
     }
-    const bool lost = is_commit(request) && random.happens(faults.lost_commit_responses);
-    parties_.network.send(from, "state", [this, from, request, reply, lost] {
-        parties_.store.handle(from, request, [this, from, reply, lost](HttpResponse response) {
-            if (lost) return;
+    const bool is_response_lost = is_commit(request) && random.happens(faults.lost_commit_responses);
+    parties_.network.send(from, "state", [this, from, request, reply, is_response_lost] {
+        parties_.store.handle(from, request, [this, from, reply, is_response_lost](HttpResponse response) {
+            if (is_response_lost) return;
             parties_.clock.after(parties_.faults.store_response_delay_s * parties_.random.chance(),
                                  [this, from, reply, response = std::move(response)] {
                                      parties_.network.send("state", from,
--- a/tests/fakes/http_transport.h
+++ b/tests/fakes/http_transport.h
@@ -1,4 +1,4 @@
-/// Carries the controllers' HTTP requests to the key-value store, the cloud and the workers.
+/// Simulated HTTP from the controllers to the key-value store, the cloud and the workers.
 #pragma once
 #include <functional>
 #include <string>
@@ -13,11 +13,11 @@
 
 namespace zincdyke::testing {
 
-/// Finds the receiver by its address, sends request and response over the network, and applies the
-/// MessageFaults.
+/// Delivers the controllers' HTTP requests to the fake that has the requested address, and returns the
+/// responses. Both are sent over the FakeNetwork and are subject to the MessageFaults.
 class HttpTransport {
   public:
-    /// What the transport connects; all of it outlives the transport.
+    /// The objects that the transport connects. All of them must outlive the transport.
     struct Parties {
         SimulatedClock& clock;
         RandomSource& random;
@@ -30,11 +30,12 @@
     };
     explicit HttpTransport(Parties parties) : parties_(parties) {}
 
-    /// A controller's request. `reply` is called when the response arrives; never if anything is lost.
+    /// Sends an HTTP request from the controller `from`. `reply` is called when the response arrives, and
+    /// never if the request or the response is lost.
     void request(const std::string& from, const std::string& address, const HttpRequest& request,
                  Reply reply);
 
-    /// Addresses in the controllers' settings.
+    /// Addresses of the key-value store and of the cloud, as the controllers' settings have them.
     static constexpr const char* store_address = "10.2.0.1:2379";
     static constexpr const char* cloud_address = "10.2.0.2:8443";
     static bool is_worker_address(const std::string& address) { return address.rfind("10.2.", 0) != 0; }
@@ -44,13 +45,16 @@
     void to_cloud(const std::string& from, const HttpRequest& request, const Reply& reply);
     void to_worker(const std::string& from, const std::string& machine, const HttpRequest& request,
                    const Reply& reply);
-    /// Production's version never sends it.
-    [[nodiscard]] bool is_unknown_to_sender(const std::string& from, const HttpRequest& request) const;
+    /// Returns whether the request writes records that the sender's production version doesn't support. Such
+    /// requests are dropped.
+    [[nodiscard]] bool is_unsupported_by_sender(const std::string& from, const HttpRequest& request) const;
+
     Parties parties_;
 };
 
-/// Runs `carry_out` once more at a later time for the configured share of the POST requests.
+/// Schedules `execute` as a delayed duplicate of a POST request with probability
+/// `faults.duplicate_requests`. Does nothing for other methods.
 void maybe_duplicate(SimulatedClock& clock, RandomSource& random, const MessageFaults& faults,
-                     const HttpRequest& request, std::function<void()> carry_out);
+                     const HttpRequest& request, std::function<void()> execute);
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/key_value_store.cpp
+++ b/tests/fakes/key_value_store.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t max_changes_kept = 10'000;
+constexpr std::size_t max_retained_changes = 10'000;
 constexpr std::size_t max_transaction_bytes = 64 * 1024;
 
 std::string query_parameter(const std::string& path, const std::string& name) {
@@ -22,8 +22,8 @@
 }  // namespace
 
 std::uint64_t FakeKeyValueStore::lease_of(const std::string& key) const {
-    const auto lease = lease_of_.find(key);
-    return lease == lease_of_.end() ? 0 : lease->second;
+    const auto lease = lease_by_key_.find(key);
+    return lease == lease_by_key_.end() ? 0 : lease->second;
 }
 
 int FakeKeyValueStore::placed_tasks(const std::string& machine) const {
@@ -36,9 +36,9 @@
 }
 
 void FakeKeyValueStore::write(const std::string& key, std::optional<Json> value) {
-    if (const auto lease = lease_of_.find(key); lease != lease_of_.end()) {
+    if (const auto lease = lease_by_key_.find(key); lease != lease_by_key_.end()) {
         leases_[lease->second].keys.erase(key);
-        lease_of_.erase(lease);
+        lease_by_key_.erase(lease);
     }
     if (!value && !data.contains(key)) return;
     if (recorder_ != nullptr) {
@@ -50,42 +50,43 @@
     else
         data.erase(key);
     changes_.push_back({key, std::move(value), revision_});
-    if (changes_.size() > max_changes_kept) changes_.pop_front();
+    if (changes_.size() > max_retained_changes) changes_.pop_front();
 }
 
-bool FakeKeyValueStore::take_tokens(RateLimit& limit, double rate, double count) {
+bool FakeKeyValueStore::take_tokens(TokenBucket& bucket, double rate, double count) {
     if (rate <= 0) return true;
-    limit.tokens = limit.refilled_at < 0
-                       ? rate
-                       : std::min(rate, limit.tokens + rate * (clock_.now() - limit.refilled_at));
-    limit.refilled_at = clock_.now();
-    if (limit.tokens < count) {
+    bucket.tokens = bucket.refilled_at < 0
+                        ? rate
+                        : std::min(rate, bucket.tokens + rate * (clock_.now() - bucket.refilled_at));
+    bucket.refilled_at = clock_.now();
+    if (bucket.tokens < count) {
         ++rate_limited_requests;
         return false;
     }
-    limit.tokens -= count;
+    bucket.tokens -= count;
     return true;
 }
 
 bool FakeKeyValueStore::reply_to_watch(Watch& watch, bool timed_out) {
     if (outage || rejected_clients.contains(watch.from)) return false;
-    if (changes_.size() == max_changes_kept && changes_.front().revision > watch.after + 1) {
+    if (changes_.size() == max_retained_changes && changes_.front().revision > watch.after + 1) {
         watch.reply({410, "{}", -1});
         return true;
     }
-    Json news = Json::array();
-    auto change =
-        std::upper_bound(changes_.begin(), changes_.end(), watch.after,
-                         [](std::uint64_t revision, const Change& c) { return revision < c.revision; });
+    Json watch_events = Json::array();
+    auto change = std::upper_bound(
+        changes_.begin(), changes_.end(), watch.after,
+        [](std::uint64_t revision, const Change& entry) { return revision < entry.revision; });
     for (; change != changes_.end(); ++change) {
         if (change->key.rfind(watch.prefix, 0) != 0) continue;
         if (change->value)
-            news.push_back({{"set", change->key}, {"value", *change->value}, {"stamp", change->revision}});
+            watch_events.push_back(
+                {{"set", change->key}, {"value", *change->value}, {"stamp", change->revision}});
         else
-            news.push_back({{"delete", change->key}, {"stamp", change->revision}});
+            watch_events.push_back({{"delete", change->key}, {"stamp", change->revision}});
     }
-    if (news.empty() && !timed_out) return false;
-    std::string text = Json{{"epoch", revision_}, {"news", news}}.dump();
+    if (watch_events.empty() && !timed_out) return false;
+    std::string text = Json{{"epoch", revision_}, {"news", watch_events}}.dump();
     if (max_watch_response_bytes > 0 && text.size() > max_watch_response_bytes)
         watch.reply({});
     else
@@ -109,7 +110,7 @@
     std::vector<Watch> waiting = std::move(watches_);
     watches_.clear();
     for (auto& watch : waiting)
-        if (!reply_to_watch(watch, watch.until < clock_.now())) watches_.push_back(std::move(watch));
+        if (!reply_to_watch(watch, watch.expires_at < clock_.now())) watches_.push_back(std::move(watch));
 }
 
 void FakeKeyValueStore::lower_limits(std::size_t value_bytes, std::size_t operations, double writes_per_s) {
@@ -130,7 +131,7 @@
 
 void FakeKeyValueStore::handle(const std::string& from, const HttpRequest& request, Reply reply) {
     if (outage || rejected_clients.contains(from)) return reply({503, "{}", -1});
-    if (!take_tokens(request_limit_, max_requests_per_s, 1)) return reply({429, "{}", -1});
+    if (!take_tokens(request_bucket_, max_requests_per_s, 1)) return reply({429, "{}", -1});
     const std::string& path = request.path;
     if (starts_with(path, "/watch")) return start_watch(from, path, std::move(reply));
     if (starts_with(path, "/store?")) return list(path, reply);
@@ -187,7 +188,7 @@
     Json transaction = Json::parse(request.body);
     if (!transaction.contains("if")) transaction["if"] = Json::array();
     const Json& writes = transaction["writes"];
-    if (!take_tokens(write_limit_, max_writes_per_s, static_cast<double>(writes.size())))
+    if (!take_tokens(write_bucket_, max_writes_per_s, static_cast<double>(writes.size())))
         return reply({429, "{}", -1});
     ++commits;
     if (is_over_lowered_limits(transaction)) {
@@ -232,7 +233,7 @@
         write(key, operation["value"]);
         if (!operation.contains("tether")) continue;
         const auto lease = operation["tether"].get<std::uint64_t>();
-        lease_of_[key] = lease;
+        lease_by_key_[key] = lease;
         leases_[lease].keys.insert(key);
     }
 }
--- a/tests/fakes/key_value_store.h
+++ b/tests/fakes/key_value_store.h
@@ -1,4 +1,4 @@
-/// The simulated key-value store: versioned keys, transactions with preconditions, leases, and watches.
+/// A simulated key-value store with versioned keys, conditional transactions, leases and watches.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -17,56 +17,60 @@
 
 using wire::Json;
 
-/// Serves the store's HTTP API in memory. Tests read `data`, and set the faults and limits at any time.
+/// An in-memory fake of the key-value store's HTTP API. Tests may read `data` and change the faults and
+/// limits at any time.
 class FakeKeyValueStore {
   public:
+    /// The value of a key.
     struct Entry {
         Json value;
-        std::uint64_t revision = 0;  ///< Of the commit that last wrote it.
+        std::uint64_t revision = 0;  ///< Revision of the commit that last wrote the key.
     };
 
-    /// `recorder`, if there is one, is told every write.
+    /// `recorder` records every write; null: writes are not recorded.
     FakeKeyValueStore(SimulatedClock& clock, MessageRecorder* recorder)
         : clock_(clock), recorder_(recorder) {}
 
-    /// Carries out one request. A watch may reply later; everything else replies within this call.
+    /// Executes an HTTP request to the store. A watch request may be answered later; all other requests are
+    /// answered before this function returns.
     void handle(const std::string& from, const HttpRequest& request, Reply reply);
 
-    /// Expires leases and replies to watches; to be called every 0.1 s.
+    /// Expires leases and answers watch requests. Must be called every 0.1 s.
     void tick();
 
-    /// The lease that deletes this key when it expires; 0: none.
+    /// Returns the id of the lease that a key is attached to; 0: none.
     [[nodiscard]] std::uint64_t lease_of(const std::string& key) const;
-    /// Number of tasks that the task records place on this machine.
+    /// Returns the number of tasks that the stored placements assign to a machine.
     [[nodiscard]] int placed_tasks(const std::string& machine) const;
 
     std::map<std::string, Entry> data;
-    std::uint64_t commits = 0;  ///< Transactions received within the rate limits.
+    std::uint64_t commits = 0;  ///< Number of transactions received, without those over the rate limits.
 
-    /// All requests get 503. Leases don't expire meanwhile.
+    /// If true, the store answers every request with status 503, and leases don't expire.
     bool outage = false;
-    /// Controllers whose requests alone get 503.
+    /// Names of the controllers whose requests get status 503.
     std::set<std::string> rejected_clients;
 
-    /// Requests, and keys written, per second; 0: no limit. What is over gets 429.
+    /// Rate limits for requests and for written keys; 0: no limit. Requests over a limit get status 429.
     double max_requests_per_s = 0, max_writes_per_s = 0;
-    std::uint64_t rate_limited_requests = 0;  ///< Requests that got 429.
+    std::uint64_t rate_limited_requests = 0;  ///< Number of requests that got status 429.
 
-    /// The limits that clients must keep to. What goes over them is noted in `oversized_write`, and carried
-    /// out.
+    /// Size limits for values and for the number of operations in a transaction. A transaction over these
+    /// limits is still executed, and recorded in `oversized_write`.
     std::size_t max_value_bytes = 4096, max_operations = 8;
-    /// A write over the limits, if one ever came.
+    /// The last key whose value was over the size limit, or "transaction"; empty: no write was over a limit.
     std::string oversized_write;
 
-    /// From now on what is over these limits gets 400, as from a service that lowered them without notice.
+    /// Lowers the limits and rejects transactions over the size limits with status 400, like a service that
+    /// lowers its limits without notice.
     void lower_limits(std::size_t value_bytes, std::size_t operations, double writes_per_s);
-    std::uint64_t rejected_transactions = 0;  ///< Transactions that got that 400.
+    std::uint64_t rejected_transactions = 0;  ///< Transactions rejected by lowered limits.
 
-    std::size_t list_page_size = 7;  ///< Items in one response to a list request.
-    /// Longer responses to a watch are lost on the way; 0: none is.
+    std::size_t list_page_size = 7;  ///< Maximum items in a response to a list request.
+    /// Watch responses larger than this are lost; 0: no limit.
     std::size_t max_watch_response_bytes = 0;
 
-    /// Keeps the transactions that were carried out in `recorded_commits`, to be sent once more.
+    /// If true, executed transactions are added to `recorded_commits`, so that a test can send them again.
     bool record_commits = false;
     std::vector<HttpRequest> recorded_commits;
 
@@ -77,22 +81,22 @@
     };
     struct Watch {
         std::string prefix, from;
-        std::uint64_t after = 0;  // revision
-        double until = 0;
+        std::uint64_t after = 0;  // revision that the client already has
+        double expires_at = 0;
         Reply reply;
     };
     struct Change {
         std::string key;
-        std::optional<Json> value;  // none: deleted
+        std::optional<Json> value;  // empty if the key was deleted
         std::uint64_t revision = 0;
     };
-    /// Requests or writes that may still come before the rate is met; refilled continuously.
-    struct RateLimit {
+    /// A continuously refilled token bucket; each request or written key takes one token.
+    struct TokenBucket {
         double tokens = 0, refilled_at = -1;
     };
 
     void write(const std::string& key, std::optional<Json> value);
-    bool take_tokens(RateLimit& limit, double rate, double count);
+    bool take_tokens(TokenBucket& bucket, double rate, double count);
     bool reply_to_watch(Watch& watch, bool timed_out);
     void start_watch(const std::string& from, const std::string& path, Reply reply);
     void list(const std::string& path, const Reply& reply) const;
@@ -108,9 +112,9 @@
     MessageRecorder* recorder_;
     std::uint64_t revision_ = 1;
     std::map<std::uint64_t, Lease> leases_;
-    std::map<std::string, std::uint64_t> lease_of_;  // by key
+    std::map<std::string, std::uint64_t> lease_by_key_;  // lease id by key
     std::uint64_t next_lease_ = 1;
-    RateLimit request_limit_, write_limit_;
+    TokenBucket request_bucket_, write_bucket_;
     std::deque<Change> changes_;
     std::vector<Watch> watches_;
     bool limits_lowered_ = false;
--- a/tests/fakes/message_faults.h
+++ b/tests/fakes/message_faults.h
@@ -1,33 +1,32 @@
-/// Which messages come late, twice or not at all.
+/// Fault injection settings for delayed, duplicated and lost messages.
 #pragma once
 
 namespace zincdyke::testing {
 
-/// Shares of messages (0 to 1) that are delayed, duplicated or lost, and how late they come. Tests set the
-/// fields at any time. Loss on a link, and partitions, are set in FakeNetwork.
+/// Probabilities (0 to 1) that a message is delayed, duplicated or lost, and the lengths of the delays. Tests
+/// may change the fields at any time. FakeNetwork has the settings for lossy links and network partitions.
 struct MessageFaults {
-    /// Commits to the key-value store that get no response and are carried out 2 to 12 s later.
+    /// Probability that the key-value store executes a commit 2 to 12 s late and sends no response.
     double late_commits = 0;
-    /// Commits that are carried out at once while their response is lost.
+    /// Probability that a commit is executed immediately while its response is lost.
     double lost_commit_responses = 0;
-    /// The key-value store's responses take up to so many seconds more.
+    /// Maximum extra delay of a response from the key-value store, in seconds.
     double store_response_delay_s = 0;
 
-    /// Direct commands to workers that are carried out once, 2 to 16 s later, with no response.
+    /// Probability that a worker executes a direct command 2 to 16 s late and sends no response.
     double late_commands = 0;
-    /// Direct commands whose response takes up to 4 s.
+    /// Probability that a worker's response to a direct command is delayed by up to 4 s.
     double late_command_responses = 0;
 
-    /// Heartbeats that arrive once more at the same controller, up to `duplicate_heartbeat_delay_s` later;
-    /// the response to the duplicate goes nowhere.
+    /// Probability that a duplicate of a heartbeat arrives at the same controller, up to
+    /// `duplicate_heartbeat_delay_s` later. The response to the duplicate is discarded.
     double duplicate_heartbeats = 0;
     double duplicate_heartbeat_delay_s = 40;
-    /// Heartbeats to a leader of which a duplicate is kept until the machine has a new leader, and arrives
-    /// there.
+    /// Probability that a duplicate of a heartbeat to a leader is delivered to the machine's next leader.
     double heartbeats_replayed_to_next_leader = 0;
 
-    /// POST requests that were carried out and come once more, up to `duplicate_request_delay_s` later:
-    /// commits, leases, rentals, returns, commands, submissions, cancellations.
+    /// Probability that a POST request is executed a second time, up to `duplicate_request_delay_s` later.
+    /// Applies to commits, leases, machine rentals and returns, commands, job submissions and cancellations.
     double duplicate_requests = 0;
     double duplicate_request_delay_s = 90;
 };
--- a/tests/fakes/network.cpp
+++ b/tests/fakes/network.cpp
@@ -5,17 +5,17 @@
 namespace zincdyke::testing {
 
 void FakeNetwork::set_link(const std::string& one, const std::string& other, LinkState state) {
-    const Ends key = ends(one, other);
+    const LinkEndpoints key = endpoints(one, other);
     links_[key] = state;
     if (state == LinkState::hold) return;
-    auto late = std::move(held_[key]);
-    held_.erase(key);
+    auto held = std::move(held_messages_[key]);
+    held_messages_.erase(key);
     if (state == LinkState::up)
-        for (auto& deliver : late) clock_.after(0.001, std::move(deliver));
+        for (auto& deliver : held) clock_.after(0.001, std::move(deliver));
 }
 
 LinkState FakeNetwork::link_state(const std::string& one, const std::string& other) const {
-    const auto link = links_.find(ends(one, other));
+    const auto link = links_.find(endpoints(one, other));
     return link == links_.end() ? LinkState::up : link->second;
 }
 
@@ -25,7 +25,7 @@
         case LinkState::drop:
             return;
         case LinkState::hold:
-            held_[ends(from, to)].push_back(std::move(deliver));
+            held_messages_[endpoints(from, to)].push_back(std::move(deliver));
             return;
         case LinkState::up:
             break;
--- a/tests/fakes/network.h
+++ b/tests/fakes/network.h
@@ -13,37 +13,42 @@
 
 namespace zincdyke::testing {
 
+/// How a link between two parties treats messages.
 enum class LinkState {
-    up,    ///< Messages arrive after 1 to 3 ms, in any order.
-    drop,  ///< Partitioned: messages are lost, with those that were held.
-    hold,  ///< Partitioned: messages wait, and arrive once the link is up again.
+    up,    ///< Messages arrive after 1 to 3 ms and may be reordered.
+    drop,  ///< The link is partitioned: new messages and messages held earlier are lost.
+    hold,  ///< The link is partitioned: messages are queued and delivered when the link is up again.
 };
 
-/// Delivers messages between parties named by strings: controllers by name ("n0"), machines by id, "state"
-/// (the key-value store), "cloud" and "users".
+/// A simulated network that delivers messages between parties identified by strings: controllers by name
+/// ("n0"), machines by id, "state" (the key-value store), "cloud" and "users".
 class FakeNetwork {
   public:
     FakeNetwork(SimulatedClock& clock, RandomSource& random) : clock_(clock), random_(random) {}
 
-    /// Sets both directions between two parties.
+    /// Sets the state of the link between two parties, for both directions.
     void set_link(const std::string& one, const std::string& other, LinkState state);
     [[nodiscard]] LinkState link_state(const std::string& one, const std::string& other) const;
 
-    /// Runs `deliver` when the message arrives; never if it is lost. Nothing is delivered within this call.
+    /// Sends a message: runs `deliver` when the message arrives, never within this call. `deliver` is
+    /// discarded if the message is lost.
     void send(const std::string& from, const std::string& to, std::function<void()> deliver);
 
-    /// Share of the messages that are lost on links that are up.
+    /// Probability that a message is lost on a link that is up.
     double loss_probability = 0;
-    /// Parties that can send, but to which every message is lost.
+    /// Parties that can send messages but receive none: every message to them is lost.
     std::set<std::string> parties_without_inbound;
 
   private:
-    using Ends = std::pair<std::string, std::string>;  // in alphabetical order
-    static Ends ends(const std::string& one, const std::string& other) { return std::minmax(one, other); }
+    using LinkEndpoints =
+        std::pair<std::string, std::string>;  // sorted, so that both directions have one key
+    static LinkEndpoints endpoints(const std::string& one, const std::string& other) {
+        return std::minmax(one, other);
+    }
     SimulatedClock& clock_;
     RandomSource& random_;
-    std::map<Ends, LinkState> links_;
-    std::map<Ends, std::vector<std::function<void()>>> held_;
+    std::map<LinkEndpoints, LinkState> links_;
+    std::map<LinkEndpoints, std::vector<std::function<void()>>> held_messages_;
 };
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/sim_env.cpp
+++ b/tests/fakes/sim_env.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double steady_clock_start_s = 1000;  // the steady clock has another origin than the time of day
+constexpr double steady_clock_start_s = 1000;  // differs from the origin of the wall clock
 
 }  // namespace
 
@@ -46,10 +46,10 @@
     MessageRecorder* const recorder = hosts_.recorder();
     if (recorder != nullptr)
         recorder->request(hosts_.clock().now(), MessageRecorder::Kind::request, name_, address, request);
-    auto answered = std::make_shared<bool>(false);
-    auto reply_once = [this, to_worker, answered, recorder, address,
+    auto is_completed = std::make_shared<bool>(false);
+    auto reply_once = [this, to_worker, is_completed, recorder, address,
                        done = std::move(done)](HttpResponse response) {
-        if (std::exchange(*answered, true)) return;
+        if (std::exchange(*is_completed, true)) return;
         if (to_worker) --open_worker_requests_;
         if (recorder != nullptr)
             recorder->response(hosts_.clock().now(), MessageRecorder::Kind::response, address, name_,
@@ -76,10 +76,10 @@
 }
 
 std::function<void()> SimEnv::guarded(std::function<void()> fn) {
-    // A frozen process handles what came meanwhile before its own timers.
-    constexpr double delay_after_freeze = 0.001;
+    // When a frozen process resumes, it handles received messages before its own timers.
+    constexpr double delay_after_freeze_s = 0.001;
     return [&hosts = hosts_, host = host_, incarnation = incarnation_, fn = std::move(fn)] {
-        hosts.deliver(host, incarnation, delay_after_freeze, fn);
+        hosts.deliver(host, incarnation, delay_after_freeze_s, fn);
     };
 }
 
--- a/tests/fakes/sim_env.h
+++ b/tests/fakes/sim_env.h
@@ -1,4 +1,4 @@
-/// The environment that a simulated deployment gives to each of its controllers.
+/// The environment (Env) of a controller in a simulated deployment.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,12 +12,13 @@
 
 class ControllerHosts;
 
-/// Clock, timers, HTTP, peer messages and random numbers of one incarnation of a controller: made when its
-/// process starts. Timers and responses of an incarnation that has ended do nothing; those that come while
-/// the process is frozen wait until it goes on.
+/// Provides clock, timers, HTTP, peer messages and random numbers to one process incarnation of a controller.
+/// Timers and responses of an incarnation that has ended are discarded; those that occur while the process is
+/// frozen are deferred until it resumes.
 class SimEnv : public zincdyke::Env {
   public:
-    /// Draws the seed of the controller's own random numbers from the deployment's. `hosts` must outlive it.
+    /// Draws the seed of the controller's random number generator from the deployment's generator. `hosts`
+    /// must outlive this object.
     SimEnv(ControllerHosts& hosts, std::size_t host, std::uint64_t incarnation);
 
     SteadyTime now() override;
@@ -29,7 +30,7 @@
     std::mt19937_64& rng() override { return rng_; }
 
   private:
-    /// Runs `fn` only if this incarnation still runs then.
+    /// Returns a function that runs `fn` only if this process incarnation is still running at that time.
     std::function<void()> guarded(std::function<void()> fn);
 
     ControllerHosts& hosts_;
--- a/tests/fakes/simulated_clock.h
+++ b/tests/fakes/simulated_clock.h
@@ -1,4 +1,4 @@
-/// Simulated time: a queue of events instead of waiting, so that minutes of a deployment take milliseconds.
+/// Discrete-event simulation of time: the clock jumps to the next event, so tests never sleep.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -6,25 +6,26 @@
 
 namespace zincdyke::testing {
 
-/// The clock and event queue that all parts of a simulated deployment share. Times are seconds since its
-/// start. Events of one instant run in the order in which they were scheduled, so a run is deterministic.
+/// The clock and event queue that all parts of a simulated deployment share. Times are in seconds since the
+/// start of the simulation. Events scheduled for the same time run in the order in which they were added, so
+/// a run is deterministic.
 class SimulatedClock {
   public:
     using Event = std::function<void()>;
 
     [[nodiscard]] double now() const { return now_; }
 
-    /// Runs `event` after `delay` seconds; a negative delay counts as none. It never runs within this call.
+    /// Schedules `event` to run after `delay` seconds, never within this call. A negative delay counts as 0.
     void after(double delay, Event event);
 
-    /// Runs all events of the next `seconds`, and moves the time on by exactly that.
+    /// Runs all events of the next `seconds` and advances the clock by exactly that duration.
     void run(double seconds);
 
-    /// Runs in steps of 0.1 s until `condition` holds or `timeout` seconds are over; returns whether it
-    /// holds.
+    /// Advances the clock in steps of 0.1 s until `condition` returns true or `timeout` seconds have passed.
+    /// Returns the last result of `condition`.
     bool run_until(const std::function<bool()>& condition, double timeout);
 
-    /// Drops all pending events. To be called before the objects that they refer to are destroyed.
+    /// Discards all pending events. Must be called before the objects that the events use are destroyed.
     void clear() { events_.clear(); }
 
   private:
--- a/tests/fakes/simulated_deployment.cpp
+++ b/tests/fakes/simulated_deployment.cpp
@@ -39,7 +39,7 @@
     return text;
 }
 
-/// The controller's settings, as TOML.
+/// Returns the settings of a controller, in TOML.
 std::string settings_text(const DeploymentOptions& options, int controller) {
     std::string zones;
     for (const auto& zone : options.zones) zones += (zones.empty() ? "" : ", ") + quoted(zone);
--- a/tests/fakes/simulated_deployment.h
+++ b/tests/fakes/simulated_deployment.h
@@ -1,5 +1,5 @@
-/// A whole deployment in memory: real controllers, and around them a simulated network, key-value store,
-/// cloud, workers and users, on one simulated clock and one seeded source of random numbers.
+/// A complete in-memory deployment: real controllers with a simulated network, key-value store, cloud,
+/// workers and users, which share one simulated clock and one seeded random number generator.
 #pragma once
 #include <functional>
 #include <set>
@@ -22,35 +22,36 @@
 
 namespace zincdyke::testing {
 
-/// What a deployment looks like: its settings and what is around it.
+/// The configuration of a simulated deployment: the controllers' settings and the options of the fakes.
 struct DeploymentOptions {
     std::uint64_t seed = 1;
     int controllers = 3;
     std::vector<std::string> zones{"a"};
-    /// The settings' teams, as TOML.
+    /// Team sections of the controllers' settings, in TOML.
     std::string teams =
         "[[params.teams]]\nname = \"red\"\ncpus = 0\ncpus_max = 0\ngpus = 0\ngpus_max = 0\n"
         "[[params.teams]]\nname = \"blue\"\ncpus = 0\ncpus_max = 12\ngpus = 0\ngpus_max = 0\n";
-    int cloud_capacity = 40;  ///< Machines.
+    int cloud_capacity = 40;  ///< Maximum number of machines that exist at the same time.
     double boot_s = 5;
     double heartbeat_interval_s = 1.5, lease_s = 10, cancel_s = 30;
-    /// Limits of the key-value store and of the cloud, as the settings announce them; `max_value_kb` and
-    /// `max_operations` (of a transaction) also hold in the store.
+    /// Limits of the key-value store and the cloud in the controllers' settings. The fake store also uses
+    /// `max_value_kb` and `max_operations` (per transaction) as its own size limits.
     double max_value_kb = 4;
     int max_operations = 8;
     double store_requests_per_s = 200, store_writes_per_s = 40, cloud_requests_per_s = 8;
-    /// The key-value store and the cloud reject what is over these rates.
+    /// If true, the key-value store and the cloud reject requests over these rates.
     bool enforce_rate_limits = false;
-    /// What the settings announce as the store's next limits; 0: none.
+    /// Future limits of the key-value store in the controllers' settings; 0: no change is announced.
     double next_max_value_kb = 0, next_store_writes_per_s = 0;
     int next_max_operations = 0;
-    double memory_mb = 56;  ///< Of a controller.
+    double memory_mb = 56;  ///< Memory limit of a controller process.
     int max_sockets = 900;
-    std::size_t list_page_size = 7;  ///< Of the store's lists; small, so that paging is always exercised.
-    double worker_tick_s = 0.1;      ///< How often a worker looks at its clock.
-    /// Controllers that begin with production's version.
+    std::size_t list_page_size =
+        7;                       ///< Items per page of the store's lists; small, so that tests cover paging.
+    double worker_tick_s = 0.1;  ///< Interval between a worker's checks of its lease and heartbeat.
+    /// Numbers of the controllers that run the production version until they are upgraded.
     std::set<int> production_controllers;
-    /// Is told every message, if there is one; must outlive the deployment.
+    /// Records all messages; null: none. Must outlive the deployment.
     MessageRecorder* recorder = nullptr;
 };
 
@@ -65,7 +66,7 @@
     SimulatedDeployment(const SimulatedDeployment&) = delete;
     SimulatedDeployment& operator=(const SimulatedDeployment&) = delete;
 
-    // Time and chance.
+    // Simulated time and random numbers.
     [[nodiscard]] double now() const { return clock.now(); }
     void after(double delay, std::function<void()> fn) { clock.after(delay, std::move(fn)); }
     void run(double seconds) { clock.run(seconds); }
@@ -83,7 +84,8 @@
     void crash_controller(int i) { controllers.crash(index(i)); }
     void freeze_controller(int i, double seconds) { controllers.freeze(index(i), seconds); }
     void upgrade_controller(int i, double down_s = 0.5) { controllers.upgrade(index(i), down_s); }
-    /// Sends a request without network and waits for the response.
+    /// Sends an HTTP request directly to a controller, bypassing the network, and runs the simulation until
+    /// the response arrives. Returns an empty response after `timeout` seconds.
     HttpResponse request(int i, const std::string& method, const std::string& path,
                          const std::string& body = "", double timeout = 5);
 
@@ -92,7 +94,7 @@
     }
 
     // Users and their jobs.
-    /// A batch job's body; tests change what they need.
+    /// Returns the submission body of a batch job. Tests may change its fields.
     [[nodiscard]] static Json job(const std::string& id, int tasks, double cpu = 1, double run_s = 5,
                                   const std::string& team = "red");
     void submit(const Json& body, int controller = FakeUsers::any_controller) {
--- a/tests/fakes/submitted_jobs.h
+++ b/tests/fakes/submitted_jobs.h
@@ -1,4 +1,4 @@
-/// The jobs that the simulated users submitted.
+/// The record of the jobs that the simulated users submitted.
 #pragma once
 #include <map>
 #include <string>
@@ -9,12 +9,14 @@
 
 using wire::Json;
 
+/// A job that a simulated user submitted.
 struct SubmittedJob {
-    Json body;              ///< As submitted; "real_s" in it is how long a task really takes.
-    bool accepted = false;  ///< A user was answered so.
+    /// Body of the submission request. Its field "real_s" is the actual run time of a task in seconds.
+    Json body;
+    bool accepted = false;  ///< True once a user has received a response that accepts the job.
 };
 
-/// By id. Owned by the users; the workers look up what their tasks execute.
+/// Submitted jobs by id. FakeUsers owns the map; the simulated workers look up the jobs of their tasks.
 using SubmittedJobs = std::map<std::string, SubmittedJob>;
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/task_runner.cpp
+++ b/tests/fakes/task_runner.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr double gang_wait_s = 30;         // as in the controllers' settings
-constexpr double gang_member_check_s = 2;  // half of the settings' gang_peer_s
-constexpr double cached_image_s = 0.01;
+constexpr double gang_wait_s = 30;         // equals the controllers' setting gang_wait_s
+constexpr double gang_member_check_s = 2;  // half of the controllers' setting gang_peer_s
+constexpr double cached_image_fetch_s = 0.01;
 constexpr double failing_task_s = 0.5;
 
 }  // namespace
@@ -61,10 +61,10 @@
         task.phase = "saving";
         const TaskHandle handle{worker.id, key, ++task.generation};
         clock_.after(checkpoint_s, [this, handle] {
-            if (find(handle) != nullptr) end(workers_.at(handle.machine), handle.key, "halted", true);
+            if (find(handle) != nullptr) end_task(workers_.at(handle.machine), handle.key, "halted", true);
         });
     } else if (task.phase != "saving" || grace_s == 0) {
-        end(worker, key, "halted");
+        end_task(worker, key, "halted");
     }
 }
 
@@ -88,8 +88,8 @@
     task.job = name.substr(0, slash);
     task.index = std::stoi(name.substr(slash + 1));
     task.attempt = attempt;
-    task.cause = start_error(worker, task);
-    if (!task.cause.empty()) task.phase = "ended";
+    task.end_cause = start_error(worker, task);
+    if (!task.end_cause.empty()) task.phase = "ended";
     worker.tasks[key] = task;
     if (task.phase != "ended") fetch_image(worker, key);
     worker.prompt_heartbeat(clock_.now());
@@ -99,9 +99,9 @@
     FakeTask& task = worker.tasks.at(key);
     const Json& job = body(task.job);
     const bool is_cached = worker.images.contains(job["cask"].get<std::string>());
-    task.remaining_s = job.value("real_s", 5.0);
+    task.run_time_s = job.value("real_s", 5.0);
     const TaskHandle handle{worker.id, key, ++task.generation};
-    clock_.after(is_cached ? cached_image_s : job.value("image_gb", 0.5),
+    clock_.after(is_cached ? cached_image_fetch_s : job.value("image_gb", 0.5),
                  [this, handle] { image_fetched(handle); });
 }
 
@@ -115,9 +115,9 @@
     }
     worker.images.insert(body(task->job)["cask"].get<std::string>());
     checker_.task_started(clock_.now(), task->job, task->index, worker.id);
-    if (finished_[task->job].contains(task->index)) {
+    if (completed_tasks_[task->job].contains(task->index)) {
         task->phase = "running";
-        return end(worker, handle.key, "done");
+        return end_task(worker, handle.key, "done");
     }
     if (is_gang(task->job))
         wait_for_gang(worker, handle.key);
@@ -143,7 +143,7 @@
     clock_.after(gang_wait_s, [this, handle = TaskHandle{worker.id, key, task.generation}] {
         const FakeTask* const waiting = find(handle);
         if (waiting != nullptr && waiting->phase == "waiting")
-            end(workers_.at(handle.machine), handle.key, "alone");
+            end_task(workers_.at(handle.machine), handle.key, "alone");
     });
 }
 
@@ -154,37 +154,38 @@
     const TaskHandle handle{machine, key, ++task.generation};
     worker.prompt_heartbeat(clock_.now());
     const bool fails = worker.faulty || failing_jobs.contains(task.job);
-    clock_.after(fails ? failing_task_s : task.remaining_s, [this, handle, fails] {
+    clock_.after(fails ? failing_task_s : task.run_time_s, [this, handle, fails] {
         const FakeTask* const running = find(handle);
         if (running == nullptr || running->phase != "running") return;
         auto finish = [this, handle, fails] {
             if (find(handle) != nullptr)
-                end(workers_.at(handle.machine), handle.key, fails ? "error" : "done");
+                end_task(workers_.at(handle.machine), handle.key, fails ? "error" : "done");
         };
-        FakeWorker& where = workers_.at(handle.machine);
-        if (where.hung)
-            where.deferred_while_hung.push_back(finish);
+        FakeWorker& host = workers_.at(handle.machine);
+        if (host.hung)
+            host.deferred_while_hung.push_back(finish);
         else
             finish();
     });
 }
 
-void FakeTaskRunner::end(FakeWorker& worker, const std::string& key, const std::string& cause, bool kept) {
+void FakeTaskRunner::end_task(FakeWorker& worker, const std::string& key, const std::string& cause,
+                              bool checkpoint_saved) {
     FakeTask& task = worker.tasks.at(key);
     if (task.phase == "ended") return;
     if (task.phase != "fetching") checker_.task_stopped(task.job, task.index, worker.id);
     task.phase = "ended";
-    task.cause = cause;
-    task.kept = kept;
+    task.end_cause = cause;
+    task.checkpoint_saved = checkpoint_saved;
     ++task.generation;
     worker.prompt_heartbeat(clock_.now());
     const bool gang = is_gang(task.job);
-    const bool is_service = body(task.job).value("shape", "") == "service";  // its replicas keep no result
+    const bool is_service = body(task.job).value("shape", "") == "service";  // replicas have no result
     if (cause == "done" && !is_service) {
-        // A gang completes together: when one task is done, all of them are.
+        // A gang completes as a unit: when one task is done, all are.
         for (int i = 0; i < body(task.job)["shards"].get<int>(); ++i)
             if (gang || i == task.index) {
-                finished_[task.job].insert(i);
+                completed_tasks_[task.job].insert(i);
                 checker_.task_completed(task.job, i);
             }
     } else if (gang) {
@@ -200,7 +201,7 @@
             for (const auto& [key, task] : worker->second.tasks)
                 if (task.job == job && task.attempt == attempt &&
                     (task.phase == "running" || task.phase == "saving")) {
-                    end(worker->second, key, "peers");
+                    end_task(worker->second, key, "peers");
                     return gang_member_lost(job, attempt);
                 }
         }
--- a/tests/fakes/users.cpp
+++ b/tests/fakes/users.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int max_tries = 60;
+constexpr int max_attempts = 60;
 constexpr double retry_timeout_s = 5, poll_timeout_s = 1.9;
 constexpr double retry_delay_s = 1;
 constexpr double cancellation_delay_s = 2;
@@ -19,7 +19,7 @@
     return body.is_object() ? body.value("phase", "") : "";
 }
 
-JobProperties facts_of(const Json& body, double now) {
+JobProperties properties_of(const Json& body, double now) {
     JobProperties facts;
     facts.team = body["crew"].get<std::string>();
     facts.tasks = body["shards"].get<int>();
@@ -53,37 +53,39 @@
 void FakeUsers::submit(const Json& body, int controller) {
     const std::string id = body["uid"].get<std::string>();
     jobs_[id].body = body;
-    checker_.job_submitted(id, facts_of(body, clock_.now()));
-    send({Kind::submit, id, {"POST", "/api/jobs", body.dump()}, controller, max_tries});
+    checker_.job_submitted(id, properties_of(body, clock_.now()));
+    send({RequestKind::submit, id, {"POST", "/api/jobs", body.dump()}, controller, max_attempts});
 }
 
 void FakeUsers::poll(const std::string& id, int controller) {
     checker_.poll_sent(clock_.now(), id);
-    // A user has one request under way at a time: answers of two could arrive in either order.
-    if (!cancelling_.contains(id)) send({Kind::poll, id, {"GET", "/api/jobs/" + id, ""}, controller, 1});
+    // A user sends one request at a time because concurrent responses could be reordered.
+    if (!cancelling_.contains(id))
+        send({RequestKind::poll, id, {"GET", "/api/jobs/" + id, ""}, controller, 1});
 }
 
 void FakeUsers::cancel(const std::string& id, int controller) {
     checker_.cancellation_requested(id);
     cancelling_.insert(id);
     clock_.after(cancellation_delay_s, [this, id, controller] {
-        send({Kind::cancel, id, {"POST", "/api/jobs/" + id + "/cancel", ""}, controller, max_tries});
+        send(
+            {RequestKind::cancel, id, {"POST", "/api/jobs/" + id + "/cancel", ""}, controller, max_attempts});
     });
 }
 
 void FakeUsers::send(const Request& request) {
-    if (request.tries_left <= 0) {
-        // Who gives up cancelling goes on asking for the job's state.
-        if (request.kind == Kind::cancel) cancelling_.erase(request.job);
+    if (request.attempts_left <= 0) {
+        // Allows polling again after all attempts to cancel have failed.
+        if (request.kind == RequestKind::cancel) cancelling_.erase(request.job);
         return;
     }
-    Try attempt;
+    Attempt attempt;
     attempt.request = request;
     attempt.host = request.controller >= 0 ? static_cast<std::size_t>(request.controller)
                                            : random_.draw() % controllers_.count();
     attempt.sent_at = clock_.now();
     clock_.after(is_retried(request) ? retry_timeout_s : poll_timeout_s, [this, attempt] {
-        if (!std::exchange(*attempt.answered, true) && is_retried(attempt.request))
+        if (!std::exchange(*attempt.is_completed, true) && is_retried(attempt.request))
             retry_later(attempt.request);
     });
     if (!controllers_.is_running(attempt.host)) return;
@@ -93,12 +95,12 @@
 void FakeUsers::retry_later(const Request& request) {
     clock_.after(retry_delay_s, [this, request] {
         Request next = request;
-        --next.tries_left;
+        --next.attempts_left;
         send(next);
     });
 }
 
-void FakeUsers::deliver(const Try& attempt) {
+void FakeUsers::deliver(const Attempt& attempt) {
     const std::size_t host = attempt.host;
     if (!controllers_.is_running(host)) return;
     auto send_back = [this, attempt](const HttpResponse& response) {
@@ -110,19 +112,19 @@
     });
 }
 
-void FakeUsers::on_response(const Try& attempt, const HttpResponse& response) {
-    if (std::exchange(*attempt.answered, true)) return;
+void FakeUsers::on_response(const Attempt& attempt, const HttpResponse& response) {
+    if (std::exchange(*attempt.is_completed, true)) return;
     const Request& request = attempt.request;
     max_response_time_s_ = std::max(max_response_time_s_, clock_.now() - attempt.sent_at);
     if (response.status < 300)
         maybe_duplicate(clock_, random_, faults_, request.http, [this, request] { duplicate(request); });
     const std::string phase = phase_of(response);
-    checker_.response_received(clock_.now(), request.job, request.kind == Kind::submit, response.status,
-                               phase);
+    checker_.response_received(clock_.now(), request.job, request.kind == RequestKind::submit,
+                               response.status, phase);
     if (response.status == 200 || response.status == 201) {
-        if (request.kind == Kind::submit) jobs_[request.job].accepted = true;
+        if (request.kind == RequestKind::submit) jobs_[request.job].accepted = true;
         last_phases_[request.job] = phase;
-        if (request.kind == Kind::cancel) cancelling_.erase(request.job);
+        if (request.kind == RequestKind::cancel) cancelling_.erase(request.job);
     } else if (response.status >= 429 && is_retried(request)) {
         retry_later(request);
     }
@@ -132,8 +134,8 @@
     const std::size_t host = random_.draw() % controllers_.count();
     if (!controllers_.is_running(host) || controllers_.is_frozen(host)) return;
     controllers_.request(host, "copy", request.http, [this, request](const HttpResponse& response) {
-        checker_.response_received(clock_.now(), request.job, request.kind == Kind::submit, response.status,
-                                   phase_of(response));
+        checker_.response_received(clock_.now(), request.job, request.kind == RequestKind::submit,
+                                   response.status, phase_of(response));
     });
 }
 
--- a/tests/fakes/users.h
+++ b/tests/fakes/users.h
@@ -1,4 +1,4 @@
-/// The simulated users of the jobs API.
+/// Simulated users of the jobs API.
 #pragma once
 #include <map>
 #include <memory>
@@ -13,7 +13,8 @@
 
 namespace zincdyke::testing {
 
-/// Submit, poll and cancel jobs at any controller, and retry as users do. Every answer goes to the checker.
+/// Simulated users that submit, poll and cancel jobs at any controller and retry failed requests. Every
+/// response is reported to the HistoryChecker.
 class FakeUsers {
   public:
     FakeUsers(SimulatedClock& clock, RandomSource& random, FakeNetwork& network, const MessageFaults& faults,
@@ -25,45 +26,48 @@
           controllers_(controllers),
           checker_(checker) {}
 
+    /// Selects a random controller for each attempt.
     static constexpr int any_controller = -1;
 
-    /// Submits the job, and repeats that each second until the answer is final.
+    /// Submits a job. Retries 1 s after a timeout or a retryable error, up to 60 attempts.
     void submit(const Json& body, int controller = any_controller);
-    /// Asks once for the job's state; not while a cancellation is under way.
+    /// Requests the job's state once. Sends no request while a cancellation of the job is in progress.
     void poll(const std::string& id, int controller = any_controller);
-    /// Cancels the job in 2 s, and repeats that each second until the answer is final.
+    /// Cancels a job after 2 s. Retries 1 s after a timeout or a retryable error, up to 60 attempts.
     void cancel(const std::string& id, int controller = any_controller);
 
-    /// The phase that a user was answered last; empty: none yet.
+    /// Returns the job's phase in the last response that a user received; empty: no response yet.
     [[nodiscard]] std::string last_phase(const std::string& id) const;
     [[nodiscard]] bool is_accepted(const std::string& id) const;
     [[nodiscard]] bool is_cancelling(const std::string& id) const { return cancelling_.contains(id); }
     [[nodiscard]] const SubmittedJobs& jobs() const { return jobs_; }
-    /// The longest that a user waited for an answer, in seconds.
+    /// Returns the longest time that a user waited for a response, in seconds.
     [[nodiscard]] double max_response_time_s() const { return max_response_time_s_; }
 
   private:
-    enum class Kind { submit, poll, cancel };
+    enum class RequestKind { submit, poll, cancel };
     struct Request {
-        Kind kind = Kind::poll;
+        RequestKind kind = RequestKind::poll;
         std::string job;
         HttpRequest http;
         int controller = any_controller;
-        int tries_left = 1;
+        int attempts_left = 1;
     };
-    /// One try of a request.
-    struct Try {
+    /// One attempt to send a request.
+    struct Attempt {
         Request request;
         std::size_t host = 0;
         double sent_at = 0;
-        std::shared_ptr<bool> answered = std::make_shared<bool>(false);  // or timed out
+        std::shared_ptr<bool> is_completed =
+            std::make_shared<bool>(false);  // true after a response or a timeout
     };
-    static bool is_retried(const Request& request) { return request.kind != Kind::poll; }
+    static bool is_retried(const Request& request) { return request.kind != RequestKind::poll; }
     void send(const Request& request);
     void retry_later(const Request& request);
-    void deliver(const Try& attempt);
-    void on_response(const Try& attempt, const HttpResponse& response);
-    /// The request arrives once more at any controller; only the checker sees the response.
+    void deliver(const Attempt& attempt);
+    void on_response(const Attempt& attempt, const HttpResponse& response);
+    /// Delivers a duplicate of a request to a random controller. Only the HistoryChecker receives the
+    /// response.
     void duplicate(const Request& request);
 
     SimulatedClock& clock_;
--- a/tests/fakes/waiting_job_monitor.cpp
+++ b/tests/fakes/waiting_job_monitor.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double max_wait_s = 90;
-constexpr double rounding = 1e-6;
+constexpr double rounding_error = 1e-6;
 
-/// Whether the job may use the machine, apart from its free capacity.
+/// Returns whether the job may run on the machine, ignoring the machine's free capacity.
 bool is_eligible(const Json& body, const FakeWorker& worker) {
     if (worker.type == "small" && body.value("gpus", 0.0) > 0) return false;
     if (!body.value("loaners", false) && worker.spot) return false;
@@ -61,7 +61,7 @@
 
 WaitingJobMonitor::Progress WaitingJobMonitor::progress_of(const std::string& job) const {
     Progress progress;
-    progress.started = static_cast<int>(workers_.tasks.finished_tasks(job));
+    progress.started = static_cast<int>(workers_.tasks.completed_tasks(job));
     for (const auto& [id, worker] : workers_.all())
         for (const auto& [key, task] : worker.tasks)
             if (task.job == job && task.phase != "ended") {
@@ -79,10 +79,11 @@
         return false;
     const Progress progress = progress_of(id);
     const int tasks = job.body.value("shards", 0);
-    const bool gang = job.body.value("shape", "") == "group";  // starts as a whole
-    const int wanted = gang ? (progress.started == 0 ? tasks : 0) : std::min(1, tasks - progress.started);
-    return wanted > 0 && is_under_quota(job.body, wanted, usage) &&
-           capacity_for(job.body, progress, usage) >= wanted;
+    const bool gang = job.body.value("shape", "") == "group";  // all tasks start together
+    const int tasks_to_start =
+        gang ? (progress.started == 0 ? tasks : 0) : std::min(1, tasks - progress.started);
+    return tasks_to_start > 0 && is_under_quota(job.body, tasks_to_start, usage) &&
+           capacity_for(job.body, progress, usage) >= tasks_to_start;
 }
 
 bool WaitingJobMonitor::is_under_quota(const Json& body, int tasks, const Usage& usage) const {
@@ -92,25 +93,27 @@
     const auto found = usage.by_team.find(team);
     const TeamLimit used = found == usage.by_team.end() ? TeamLimit{} : found->second;
     const auto [max_cpu, max_gpu] = limit->second;
-    return (max_cpu <= 0 || used.cpu + tasks * body.value("vcpus", 0.0) <= max_cpu + rounding) &&
-           (max_gpu <= 0 || used.gpu + tasks * body.value("gpus", 0.0) <= max_gpu + rounding);
+    return (max_cpu <= 0 || used.cpu + tasks * body.value("vcpus", 0.0) <= max_cpu + rounding_error) &&
+           (max_gpu <= 0 || used.gpu + tasks * body.value("gpus", 0.0) <= max_gpu + rounding_error);
 }
 
 int WaitingJobMonitor::capacity_for(const Json& body, const Progress& progress, const Usage& usage) const {
     std::map<std::string, int> by_zone;
-    int everywhere = 0;
+    int total = 0;
     for (const auto& [id, free_cpus] : usage.free_cpus) {
         const FakeWorker& worker = workers_.all().at(id);
         if (!is_eligible(body, worker)) continue;
-        const int count = static_cast<int>((free_cpus + rounding) / std::max(0.1, body.value("vcpus", 1.0)));
+        const int count =
+            static_cast<int>((free_cpus + rounding_error) / std::max(0.1, body.value("vcpus", 1.0)));
         by_zone[worker.zone] += count;
-        everywhere += count;
+        total += count;
     }
-    if (!body.value("one_zone", false)) return everywhere;
-    int most = 0;
+    if (!body.value("one_zone", false)) return total;
+    int max_in_zone = 0;
     for (const auto& [zone, count] : by_zone)
-        if (progress.zones.empty() || progress.zones.contains(zone)) most = std::max(most, count);
-    return most;
+        if (progress.zones.empty() || progress.zones.contains(zone))
+            max_in_zone = std::max(max_in_zone, count);
+    return max_in_zone;
 }
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/waiting_job_monitor.h
+++ b/tests/fakes/waiting_job_monitor.h
@@ -1,4 +1,4 @@
-/// Watches for jobs that wait although they could be started.
+/// Detects jobs that wait although they could be started.
 #pragma once
 #include <map>
 #include <string>
@@ -10,34 +10,35 @@
 
 namespace zincdyke::testing {
 
-/// Once faults are over, no job may wait 90 s while machines that fit it have free capacity and its team is
-/// under its limit. It looks at the workers themselves, not at what the scheduler believes; what it finds,
-/// the checker is told.
+/// Reports to the HistoryChecker each job that waits more than 90 s, after the last fault, while suitable
+/// machines have free capacity and its team is within its limit. It uses the state of the simulated workers
+/// rather than the state of the scheduler.
 class WaitingJobMonitor {
   public:
     WaitingJobMonitor(SimulatedClock& clock, HistoryChecker& checker, const FakeUsers& users,
                       FakeWorkers& workers)
         : clock_(clock), checker_(checker), users_(users), workers_(workers) {}
 
-    /// To be called every 0.1 s; looks once a second.
+    /// Must be called every 0.1 s; checks all jobs once a second.
     void tick();
 
   private:
-    /// What the tasks on all machines use.
+    /// Resource usage of the tasks on all machines.
     struct Usage {
         std::map<std::string, TeamLimit> by_team;
-        std::map<std::string, double> free_cpus;  // by machine that accepts tasks
+        std::map<std::string, double> free_cpus;  // by machine id, without machines that accept no tasks
     };
-    /// Where a job's tasks are.
+    /// Number and zones of a job's started tasks.
     struct Progress {
-        int started = 0;  // finished ones included
+        int started = 0;  // includes completed tasks
         std::set<std::string> zones;
     };
     [[nodiscard]] Usage current_usage() const;
     [[nodiscard]] Progress progress_of(const std::string& job) const;
     [[nodiscard]] bool could_start(const std::string& id, const SubmittedJob& job, const Usage& usage) const;
     [[nodiscard]] bool is_under_quota(const Json& body, int tasks, const Usage& usage) const;
-    /// How many tasks of the job the machines have capacity for, within one zone if it must stay in one.
+    /// Returns the number of the job's tasks that the machines have free capacity for. For a job that must
+    /// run in one zone, this is the maximum over the zones.
     [[nodiscard]] int capacity_for(const Json& body, const Progress& progress, const Usage& usage) const;
 
     SimulatedClock& clock_;
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -1,4 +1,4 @@
-/// One simulated worker: a machine and the agent that executes tasks on it.
+/// The state of a simulated worker: a machine and the agent that executes tasks on it.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -11,53 +11,55 @@
 
 namespace zincdyke::testing {
 
-/// A task's attempt as its worker sees it.
+/// The state of a task attempt on its worker.
 struct FakeTask {
     std::string job;
     int index = 0;
     std::uint32_t attempt = 0;
-    /// In the protocol's words: "fetching" (its image), "waiting" (for the rest of its gang), "running",
-    /// "saving" (a checkpoint), "ended".
+    /// Phase of the task as named in the protocol: "fetching" (the image), "waiting" (for other gang
+    /// members), "running", "saving" (a checkpoint) or "ended".
     std::string phase = "fetching";
-    std::string cause;       ///< Of its end.
-    bool kept = false;       ///< A checkpoint was saved.
-    double remaining_s = 0;  ///< How long it will run.
-    std::uint64_t generation =
-        0;  ///< Rises with each change of phase; pending events of an earlier one do nothing.
+    std::string end_cause;  ///< Reason why the task ended, as named in the protocol; empty: not ended.
+    bool checkpoint_saved = false;  ///< Whether a checkpoint was saved before the end.
+    double run_time_s = 0;          ///< Run time of the attempt.
+    /// Incremented when the phase changes, so that events scheduled for an earlier phase are ignored.
+    std::uint64_t generation = 0;
 };
 
-/// A worker's state. FakeWorkers owns all workers; what happens to one is there and in FakeTaskRunner.
+/// The state of a simulated worker. FakeWorkers owns all workers; FakeWorkers and FakeTaskRunner implement
+/// their behaviour.
 struct FakeWorker {
     std::string id, address, type, zone;
     bool spot = false;
-    bool alive = true;    ///< False: the machine crashed.
-    bool hung = false;    ///< Executes nothing for now; its lease runs on.
-    bool faulty = false;  ///< All tasks on it fail.
+    bool alive = true;    ///< False after the machine crashed.
+    bool hung = false;    ///< The agent is suspended while its lease continues to run.
+    bool faulty = false;  ///< All tasks on the machine fail.
     double created_at = 0;
-    std::optional<double> preemption_at;  ///< When the cloud will take it, if that was announced.
+    std::optional<double> preemption_at;  ///< Announced time of spot preemption; empty: not announced.
 
-    std::map<std::string, FakeTask> tasks;                   ///< By "job/index#attempt".
-    std::set<std::string> images;                            ///< That were fetched.
-    std::vector<std::function<void()>> deferred_while_hung;  ///< Carried out when it no longer hangs.
+    std::map<std::string, FakeTask> tasks;  ///< Tasks by "job/index#attempt".
+    std::set<std::string> images;           ///< Names of the container images that the machine has fetched.
+    std::vector<std::function<void()>> deferred_while_hung;  ///< Operations to run when the worker resumes.
 
-    std::uint64_t agent_epoch = 1;          ///< Rises when its lease expires.
-    std::uint64_t fencing_token = 0;        ///< The highest that a leader showed; lower ones are rejected.
-    double last_token_heartbeat_at = -1e9;  ///< When a higher token last prompted a heartbeat.
+    std::uint64_t agent_epoch = 1;    ///< Incremented when the worker's lease expires.
+    std::uint64_t fencing_token = 0;  ///< Highest token received from a leader; lower ones are rejected.
+    double last_token_heartbeat_at = -1e9;  ///< Time when a higher fencing token last triggered a heartbeat.
     double lease_renewed_at = 0;
 
-    std::optional<std::size_t> controller;  ///< Where it sends heartbeats; none before it has booted.
+    std::optional<std::size_t>
+        controller;  ///< Receiver of the worker's heartbeats; empty before it has booted.
     std::uint64_t heartbeats_sent = 0;
-    std::uint64_t heartbeat_in_flight = 0;  ///< Number of the one that waits for its response; 0: none.
-    std::uint64_t sequence_number = 0;      ///< Of the last state that was reported.
-    double next_heartbeat = 0;
+    std::uint64_t heartbeat_in_flight = 0;  ///< Number of the heartbeat that awaits its response; 0: none.
+    std::uint64_t sequence_number = 0;      ///< Sequence number of the last state report.
+    double next_heartbeat_at = 0;           ///< Time when the next heartbeat is sent.
 
     [[nodiscard]] bool has_booted() const { return controller.has_value(); }
     [[nodiscard]] double cpus() const { return type == "small" ? 4.0 : 8.0; }
-    /// Something changed that the leader should know soon.
-    void prompt_heartbeat(double now) { next_heartbeat = std::min(next_heartbeat, now + 0.3); }
+    /// Schedules the next heartbeat within 0.3 s, to report a change to the leader early.
+    void prompt_heartbeat(double now) { next_heartbeat_at = std::min(next_heartbeat_at, now + 0.3); }
 };
 
-/// By machine id.
+/// Simulated workers by machine id.
 using FakeWorkerMap = std::map<std::string, FakeWorker>;
 
 }  // namespace zincdyke::testing
--- a/tests/fakes/workers.cpp
+++ b/tests/fakes/workers.cpp
@@ -37,11 +37,11 @@
       checker_(checker) {}
 
 FakeWorker& FakeWorkers::add(const std::string& type, const std::string& zone, bool spot, double boot_s) {
-    ++last_number_;
+    ++last_machine_number_;
     FakeWorker worker;
-    worker.id = machine_name(last_number_);
-    worker.address =
-        "10.1." + std::to_string(last_number_ / 200) + "." + std::to_string(last_number_ % 200 + 1) + ":9000";
+    worker.id = machine_name(last_machine_number_);
+    worker.address = "10.1." + std::to_string(last_machine_number_ / 200) + "." +
+                     std::to_string(last_machine_number_ % 200 + 1) + ":9000";
     worker.type = type;
     worker.zone = zone;
     worker.spot = spot;
@@ -49,7 +49,7 @@
     worker.created_at = clock_.now();
     const std::string id = worker.id;
     checker_.machine_added(id, {type, zone, spot});
-    by_address_[worker.address] = id;
+    machine_by_address_[worker.address] = id;
     FakeWorker& added = workers_[id] = std::move(worker);
     clock_.after(boot_s, [this, id] {
         const auto found = workers_.find(id);
@@ -72,7 +72,7 @@
     const auto found = workers_.find(id);
     if (found == workers_.end()) return;
     tasks.drop_all(found->second);
-    by_address_.erase(found->second.address);
+    machine_by_address_.erase(found->second.address);
     workers_.erase(found);
 }
 
@@ -82,20 +82,20 @@
         const auto found = workers_.find(id);
         if (found == workers_.end()) return;
         found->second.hung = false;
-        const auto late = std::move(found->second.deferred_while_hung);
-        for (const auto& carry_out : late)
-            if (workers_.contains(id)) carry_out();
+        const auto deferred = std::move(found->second.deferred_while_hung);
+        for (const auto& execute_request : deferred)
+            if (workers_.contains(id)) execute_request();
     });
 }
 
-void FakeWorkers::announce_preemption(const std::string& id, double in_s) {
-    workers_.at(id).preemption_at = clock_.now() + in_s;
-    clock_.after(in_s, [this, id] { crash(id); });
+void FakeWorkers::announce_preemption(const std::string& id, double delay_s) {
+    workers_.at(id).preemption_at = clock_.now() + delay_s;
+    clock_.after(delay_s, [this, id] { crash(id); });
 }
 
 std::optional<std::string> FakeWorkers::find_by_address(const std::string& address) const {
-    const auto found = by_address_.find(address);
-    return found == by_address_.end() ? std::nullopt : std::optional(found->second);
+    const auto found = machine_by_address_.find(address);
+    return found == machine_by_address_.end() ? std::nullopt : std::optional(found->second);
 }
 
 int FakeWorkers::executing_tasks(const std::string& job) const {
@@ -114,8 +114,8 @@
                       {"try", task.attempt},
                       {"phase", task.phase}};
         if (task.phase == "ended") {
-            entry["cause"] = task.cause;
-            if (task.kept) entry["kept"] = true;
+            entry["cause"] = task.end_cause;
+            if (task.checkpoint_saved) entry["kept"] = true;
         }
         list.push_back(std::move(entry));
     }
@@ -137,13 +137,13 @@
     const auto found = workers_.find(id);
     if (found == workers_.end() || !found->second.alive) return;
     FakeWorker& worker = found->second;
-    // A lease expires whether or not its machine executes anything: its tasks never go on after that.
+    // The lease also expires while the agent hangs: tasks must not continue after lease expiry.
     if (clock_.now() - worker.lease_renewed_at > options_.lease_s) {
         tasks.drop_all(worker);
         ++worker.agent_epoch;
         worker.lease_renewed_at = clock_.now();
     }
-    if (!worker.hung && worker.heartbeat_in_flight == 0 && clock_.now() >= worker.next_heartbeat)
+    if (!worker.hung && worker.heartbeat_in_flight == 0 && clock_.now() >= worker.next_heartbeat_at)
         send_heartbeat(worker);
     clock_.after(options_.tick_s, [this, id] { tick(id); });
 }
@@ -153,7 +153,9 @@
     const Heartbeat heartbeat{worker.id,          state_report(worker), worker.heartbeat_in_flight,
                               worker.agent_epoch, *worker.controller,   clock_.now()};
     const std::size_t controller = heartbeat.controller;
-    auto try_next = [this, heartbeat] { finish(heartbeat, retry_delay_s, heartbeat.controller + 1); };
+    auto try_next = [this, heartbeat] {
+        finish_heartbeat(heartbeat, retry_delay_s, heartbeat.controller + 1);
+    };
     clock_.after(heartbeat_timeout_s, try_next);
     if (!controllers_.is_running(controller) || machines_without_heartbeats.contains(worker.id)) {
         clock_.after(0.01, try_next);
@@ -161,7 +163,7 @@
     }
     if (random_.happens(faults_.duplicate_heartbeats))
         clock_.after(faults_.duplicate_heartbeat_delay_s * random_.chance(),
-                     [this, heartbeat] { arrive_duplicate(heartbeat.controller, heartbeat.body); });
+                     [this, heartbeat] { deliver_duplicate(heartbeat.controller, heartbeat.body); });
     if (random_.happens(faults_.heartbeats_replayed_to_next_leader)) keep_for_next_leader(heartbeat);
     network_.send(worker.id, ControllerHosts::name(controller), [this, heartbeat] { deliver(heartbeat); });
 }
@@ -187,11 +189,11 @@
     Json body = Json::parse(response.body, nullptr, false);
     if (response.status == 421) return follow_redirect(heartbeat, body.value("foreman", ""));
     if (response.status != 200) {
-        finish(heartbeat, retry_delay_s, heartbeat.controller + 1);
+        finish_heartbeat(heartbeat, retry_delay_s, heartbeat.controller + 1);
         return;
     }
     const double wait_s = options_.heartbeat_interval_s * (0.75 + 0.5 * random_.chance());
-    if (!finish(heartbeat, wait_s, heartbeat.controller)) return;
+    if (!finish_heartbeat(heartbeat, wait_s, heartbeat.controller)) return;
     const std::uint64_t token = body.value("baton", std::uint64_t{0});
     if (token < worker.fencing_token || token == 0 || heartbeat.agent_epoch != worker.agent_epoch) return;
     accept_token(worker, token);
@@ -203,17 +205,17 @@
 void FakeWorkers::follow_redirect(const Heartbeat& heartbeat, const std::string& leader) {
     for (std::size_t host = 0; host < controllers_.count(); ++host)
         if (host != heartbeat.controller && leader == ControllerHosts::name(host)) {
-            finish(heartbeat, redirect_delay_s, host);
+            finish_heartbeat(heartbeat, redirect_delay_s, host);
             return;
         }
-    finish(heartbeat, retry_delay_s, heartbeat.controller + 1);
+    finish_heartbeat(heartbeat, retry_delay_s, heartbeat.controller + 1);
 }
 
-bool FakeWorkers::finish(const Heartbeat& heartbeat, double wait_s, std::size_t next) {
+bool FakeWorkers::finish_heartbeat(const Heartbeat& heartbeat, double wait_s, std::size_t next) {
     const auto found = workers_.find(heartbeat.machine);
     if (found == workers_.end() || found->second.heartbeat_in_flight != heartbeat.number) return false;
     found->second.heartbeat_in_flight = 0;
-    found->second.next_heartbeat = clock_.now() + wait_s;
+    found->second.next_heartbeat_at = clock_.now() + wait_s;
     found->second.controller = next % controllers_.count();
     return true;
 }
@@ -221,22 +223,22 @@
 void FakeWorkers::handle(const std::string& id, const HttpRequest& request, const Reply& reply) {
     const auto found = workers_.find(id);
     if (found == workers_.end() || !found->second.alive) return;
-    auto carry_out = [this, id, request, reply] {
+    auto execute_request = [this, id, request, reply] {
         if (const auto worker = workers_.find(id); worker != workers_.end())
-            respond(worker->second, request, reply);
+            execute(worker->second, request, reply);
     };
     if (found->second.hung)
-        found->second.deferred_while_hung.push_back(carry_out);
+        found->second.deferred_while_hung.push_back(execute_request);
     else
-        carry_out();
+        execute_request();
 }
 
 void FakeWorkers::handle_while_hung(const std::string& id, const HttpRequest& request, const Reply& reply) {
     const auto found = workers_.find(id);
-    if (found != workers_.end() && found->second.alive) respond(found->second, request, reply);
+    if (found != workers_.end() && found->second.alive) execute(found->second, request, reply);
 }
 
-void FakeWorkers::respond(FakeWorker& worker, const HttpRequest& request, const Reply& reply) {
+void FakeWorkers::execute(FakeWorker& worker, const HttpRequest& request, const Reply& reply) {
     if (request.path == "/status") return reply({200, state_report(worker), -1});
     const Json body = Json::parse(request.body);
     const auto token = body["baton"].get<std::uint64_t>();
@@ -248,7 +250,7 @@
 }
 
 void FakeWorkers::accept_token(FakeWorker& worker, std::uint64_t token) {
-    // A higher token prompts a heartbeat at most once in half of a lease.
+    // Limits the heartbeats triggered by new fencing tokens to one per half lease.
     if (token > worker.fencing_token &&
         clock_.now() - worker.last_token_heartbeat_at >= options_.lease_s / 2) {
         worker.last_token_heartbeat_at = clock_.now();
@@ -257,14 +259,14 @@
     worker.fencing_token = token;
 }
 
-void FakeWorkers::arrive_duplicate(std::size_t controller, const std::string& body) {
+void FakeWorkers::deliver_duplicate(std::size_t controller, const std::string& body) {
     if (controllers_.is_running(controller))
         controllers_.request(controller, "copy", heartbeat_request(body), ignore_response);
 }
 
 void FakeWorkers::duplicate_heartbeat(const std::string& id, std::size_t controller, double delay) {
     clock_.after(delay, [this, controller, body = state_report(workers_.at(id))] {
-        arrive_duplicate(controller, body);
+        deliver_duplicate(controller, body);
     });
 }
 
@@ -280,11 +282,12 @@
             if (!controllers_.is_running(host)) continue;
             const auto term = controllers_.node(host).cluster().leader_term(MachineId(kept.machine));
             if (!term || *term <= kept.term) continue;
-            // Some before the machine's own next heartbeat.
+            // Half of the delays are short, so that some duplicates arrive before the machine's next
+            // heartbeat.
             const double delay = random_.chance() < 0.5 ? 0.1 * random_.chance() : 3 * random_.chance();
             clock_.after(delay, [this, host, incarnation = controllers_.incarnation(host), body = kept.body] {
                 controllers_.deliver(host, incarnation, 0,
-                                     [this, host, body] { arrive_duplicate(host, body); });
+                                     [this, host, body] { deliver_duplicate(host, body); });
             });
             return true;
         }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -113,7 +113,7 @@
         for (int n = 0; n < nodes; ++n) deployment.start_controller(n);
         for (auto& [id, m] : deployment.workers.all()) {
             m.controller = 0;
-            m.next_heartbeat = deployment.now();
+            m.next_heartbeat_at = deployment.now();
         }
         if (time == 0) deployment.run(2);
     }
