--- a/tests/behaviour/behaviour_trace.cpp
+++ b/tests/behaviour/behaviour_trace.cpp
@@ -1,4 +1,4 @@
-// Plays seeded scenarios and writes what was said in each into a file. See tests/compare_behaviour.sh.
+// Runs seeded scenarios and writes a trace file of the messages of each. See tests/compare_behaviour.sh.
 #include <spdlog/spdlog.h>
 
 #include <array>
@@ -14,14 +14,16 @@
 namespace zincdyke::testing {
 namespace {
 
-constexpr double troubles_from = 20, troubles_for = 25, end_of_story = 220;
+constexpr double fault_start_s = 20, fault_duration_s = 25, default_duration_s = 220;
 
+/// A named run of a simulated deployment with its options, faults and duration.
 struct Scenario {
     std::string name;
-    std::function<void(DeploymentOptions&)> set;
-    std::function<void(SimulatedDeployment&)>
-        play;  // plans what will happen; jobs and users are there already
-    double length = end_of_story;
+    /// Changes the deployment's options; empty: the default options are used.
+    std::function<void(DeploymentOptions&)> configure;
+    /// Schedules the scenario's faults and additional jobs. The common jobs are already scheduled.
+    std::function<void(SimulatedDeployment&)> schedule;
+    double duration_s = default_duration_s;
 };
 
 std::string job_id(int number) {
@@ -30,7 +32,7 @@
     return text.data();
 }
 
-std::string machine(int number) {
+std::string machine_id(int number) {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "host-%06d", number);
     return text.data();
@@ -52,24 +54,25 @@
     return body;
 }
 
-/// Users submit the job then, and ask for its state every few seconds until they are told its end.
+/// Submits a job after `delay` seconds and polls it every 3 s until a user receives its final state.
 void submit_at(SimulatedDeployment& deployment, double delay, const Json& body) {
     deployment.after(delay, [&deployment, body] {
         deployment.submit(body);
-        const auto ask_again = std::make_shared<std::function<void()>>();
-        // The event holds the function; the function itself holds only a weak reference.
-        *ask_again = [&deployment, id = body["uid"].get<std::string>(),
-                      weak = std::weak_ptr<std::function<void()>>(ask_again)] {
+        const auto poll_again = std::make_shared<std::function<void()>>();
+        // The weak reference avoids a cycle: the pending event owns the function.
+        *poll_again = [&deployment, id = body["uid"].get<std::string>(),
+                       weak = std::weak_ptr<std::function<void()>>(poll_again)] {
             if (deployment.last_phase(id) == "done" || deployment.last_phase(id) == "withdrawn") return;
             if (deployment.is_accepted(id)) deployment.poll(id);
             if (const auto self = weak.lock()) deployment.after(3, [self] { (*self)(); });
         };
-        deployment.after(3, [ask_again] { (*ask_again)(); });
+        deployment.after(3, [poll_again] { (*poll_again)(); });
     });
 }
 
-/// Arrays of several sizes, of two teams, with several images, and a few gangs, over the first 135 seconds.
-void submit_usual(SimulatedDeployment& deployment) {
+/// Submits the common jobs of all scenarios during the first 135 s: job arrays of several sizes, teams
+/// and images, and some gangs.
+void submit_common_jobs(SimulatedDeployment& deployment) {
     const std::vector<int> sizes{1, 4, 12, 2, 30, 7, 1, 18, 3, 110, 5, 9};
     for (int i = 0; i < 60; ++i) {
         const int tasks = sizes[static_cast<std::size_t>(i) % sizes.size()];
@@ -83,109 +86,121 @@
     }
 }
 
-enum class Side { state, workers, peers, everything };
+/// The parties to which a controller's links are changed.
+enum class PartyGroup { state, workers, peers, everything };
 
-/// One controller's links to that side.
-void set_links(SimulatedDeployment& deployment, int node, Side side, LinkState link) {
-    const std::string name = deployment.controller_name(node);
-    const bool all = side == Side::everything;
-    if (all || side == Side::state) deployment.set_link(name, "state", link);
-    if (all || side == Side::peers)
+/// Sets a controller's links to all parties of a group.
+void set_links(SimulatedDeployment& deployment, int controller, PartyGroup group, LinkState link) {
+    const std::string name = deployment.controller_name(controller);
+    const bool all_groups = group == PartyGroup::everything;
+    if (all_groups || group == PartyGroup::state) deployment.set_link(name, "state", link);
+    if (all_groups || group == PartyGroup::peers)
         for (int other = 0; other < deployment.controller_count(); ++other)
-            if (other != node) deployment.set_link(name, deployment.controller_name(other), link);
-    if (all || side == Side::workers)
-        for (int number = 1; number <= 200; ++number) deployment.set_link(name, machine(number), link);
-    if (!all) return;
+            if (other != controller) deployment.set_link(name, deployment.controller_name(other), link);
+    if (all_groups || group == PartyGroup::workers)
+        for (int number = 1; number <= 200; ++number) deployment.set_link(name, machine_id(number), link);
+    if (!all_groups) return;
     deployment.set_link(name, "cloud", link);
     deployment.set_link(name, "users", link);
 }
 
-void during(SimulatedDeployment& deployment, const std::function<void()>& begin,
-            const std::function<void()>& end) {
-    deployment.after(troubles_from, begin);
-    deployment.after(troubles_from + troubles_for, end);
+/// Starts a fault at `fault_start_s` by calling `begin`, and ends it `fault_duration_s` later by calling
+/// `end`.
+void inject_fault(SimulatedDeployment& deployment, const std::function<void()>& begin,
+                  const std::function<void()>& end) {
+    deployment.after(fault_start_s, begin);
+    deployment.after(fault_start_s + fault_duration_s, end);
 }
 
-void crash_for(SimulatedDeployment& deployment, int node, double from, double down_s) {
-    deployment.after(from, [&deployment, node] { deployment.crash_controller(node); });
-    deployment.after(from + down_s, [&deployment, node] { deployment.start_controller(node); });
+/// Crashes a controller at time `crash_at_s` and starts it again after `down_s` seconds.
+void crash_for(SimulatedDeployment& deployment, int controller, double crash_at_s, double down_s) {
+    deployment.after(crash_at_s, [&deployment, controller] { deployment.crash_controller(controller); });
+    deployment.after(crash_at_s + down_s,
+                     [&deployment, controller] { deployment.start_controller(controller); });
 }
 
-Scenario partition(const std::string& side_name, Side side, int node, LinkState link) {
-    const std::string manner = link == LinkState::hold ? "held" : "dropped";
-    return {"partition_" + side_name + "_n" + std::to_string(node) + "_" + manner,
-            {},
-            [side, node, link](SimulatedDeployment& deployment) {
-                during(
-                    deployment, [&deployment, side, node, link] { set_links(deployment, node, side, link); },
-                    [&deployment, side, node] { set_links(deployment, node, side, LinkState::up); });
-            }};
+Scenario partition(const std::string& group_name, PartyGroup group, int controller, LinkState link) {
+    const std::string link_name = link == LinkState::hold ? "held" : "dropped";
+    return {
+        "partition_" + group_name + "_n" + std::to_string(controller) + "_" + link_name,
+        {},
+        [group, controller, link](SimulatedDeployment& deployment) {
+            inject_fault(
+                deployment,
+                [&deployment, group, controller, link] { set_links(deployment, controller, group, link); },
+                [&deployment, group, controller] {
+                    set_links(deployment, controller, group, LinkState::up);
+                });
+        }};
 }
 
 void add_partitions(std::vector<Scenario>& all) {
-    for (int node = 0; node < 3; ++node) {
-        all.push_back(partition("state", Side::state, node, LinkState::drop));
-        all.push_back(partition("workers", Side::workers, node, LinkState::drop));
-        all.push_back(partition("peers", Side::peers, node, LinkState::drop));
-        all.push_back(partition("everything", Side::everything, node, LinkState::drop));
+    for (int controller = 0; controller < 3; ++controller) {
+        all.push_back(partition("state", PartyGroup::state, controller, LinkState::drop));
+        all.push_back(partition("workers", PartyGroup::workers, controller, LinkState::drop));
+        all.push_back(partition("peers", PartyGroup::peers, controller, LinkState::drop));
+        all.push_back(partition("everything", PartyGroup::everything, controller, LinkState::drop));
     }
-    all.push_back(partition("state", Side::state, 0, LinkState::hold));
-    all.push_back(partition("peers", Side::peers, 1, LinkState::hold));
-    all.push_back(partition("workers", Side::workers, 2, LinkState::hold));
-    all.push_back(partition("everything", Side::everything, 1, LinkState::hold));
+    all.push_back(partition("state", PartyGroup::state, 0, LinkState::hold));
+    all.push_back(partition("peers", PartyGroup::peers, 1, LinkState::hold));
+    all.push_back(partition("workers", PartyGroup::workers, 2, LinkState::hold));
+    all.push_back(partition("everything", PartyGroup::everything, 1, LinkState::hold));
 }
 
-void add_controller_troubles(std::vector<Scenario>& all) {
-    for (int node = 0; node < 3; ++node)
-        all.push_back({"crash_n" + std::to_string(node), {}, [node](SimulatedDeployment& deployment) {
-                           crash_for(deployment, node, troubles_from, troubles_for);
-                       }});
+void add_controller_faults(std::vector<Scenario>& all) {
+    for (int controller = 0; controller < 3; ++controller)
+        all.push_back(
+            {"crash_n" + std::to_string(controller), {}, [controller](SimulatedDeployment& deployment) {
+                 crash_for(deployment, controller, fault_start_s, fault_duration_s);
+             }});
     all.push_back({"freeze", {}, [](SimulatedDeployment& deployment) {
-                       deployment.after(troubles_from, [&deployment] { deployment.freeze_controller(0, 8); });
+                       deployment.after(fault_start_s, [&deployment] { deployment.freeze_controller(0, 8); });
                        deployment.after(60, [&deployment] { deployment.freeze_controller(1, 20); });
                    }});
 }
 
-void add_state_troubles(std::vector<Scenario>& all) {
+void add_store_faults(std::vector<Scenario>& all) {
     all.push_back({"state_refuses_one", {}, [](SimulatedDeployment& deployment) {
-                       during(
+                       inject_fault(
                            deployment, [&deployment] { deployment.store.rejected_clients.insert("n1"); },
                            [&deployment] { deployment.store.rejected_clients.clear(); });
                    }});
     all.push_back({"state_outage", {}, [](SimulatedDeployment& deployment) {
-                       during(
+                       inject_fault(
                            deployment, [&deployment] { deployment.store.outage = true; },
                            [&deployment] { deployment.store.outage = false; });
                    }});
-    all.push_back({"budgets", [](DeploymentOptions& o) { o.enforce_rate_limits = true; },
-                   [](SimulatedDeployment& deployment) { crash_for(deployment, 2, troubles_from, 5); }});
+    all.push_back({"budgets", [](DeploymentOptions& options) { options.enforce_rate_limits = true; },
+                   [](SimulatedDeployment& deployment) { crash_for(deployment, 2, fault_start_s, 5); }});
 }
 
-void set_upgrade(DeploymentOptions& o) {
-    o.max_value_kb = 8;
-    o.next_max_value_kb = 2;
-    o.next_max_operations = 4;
-    o.next_store_writes_per_s = 30;
-    o.cloud_capacity = 60;
-    o.production_controllers = {0, 1, 2};
+void configure_upgrade(DeploymentOptions& options) {
+    options.max_value_kb = 8;
+    options.next_max_value_kb = 2;
+    options.next_max_operations = 4;
+    options.next_store_writes_per_s = 30;
+    options.cloud_capacity = 60;
+    options.production_controllers = {0, 1, 2};
 }
 
-/// Writes over the limits are refused as invalid, and the limits on requests and writes are met.
-void add_state_limits(std::vector<Scenario>& all) {
-    all.push_back({"limits_lowered", set_upgrade, [](SimulatedDeployment& deployment) {
+/// Adds scenarios in which the key-value store rejects transactions over its limits or limits the request
+/// rate.
+void add_store_limits(std::vector<Scenario>& all) {
+    all.push_back({"limits_lowered", configure_upgrade, [](SimulatedDeployment& deployment) {
                        submit_at(deployment, 6, deployment.job(job_id(100), 400, 0.25, 12));
                        submit_at(deployment, 6, deployment.job(job_id(101), 150, 0.25, 60));
                        deployment.after(9, [&deployment] { deployment.store.lower_limits(2048, 4, 30); });
-                       for (int node = 0; node < 3; ++node)
-                           deployment.after(40 + 12 * node,
-                                            [&deployment, node] { deployment.upgrade_controller(node); });
+                       for (int controller = 0; controller < 3; ++controller)
+                           deployment.after(40 + 12 * controller, [&deployment, controller] {
+                               deployment.upgrade_controller(controller);
+                           });
                    }});
     all.push_back({"few_writes",
-                   [](DeploymentOptions& o) {
-                       o.enforce_rate_limits = true;
-                       o.store_requests_per_s = 60;
-                       o.store_writes_per_s = 12;
-                       o.cloud_requests_per_s = 2;
+                   [](DeploymentOptions& options) {
+                       options.enforce_rate_limits = true;
+                       options.store_requests_per_s = 60;
+                       options.store_writes_per_s = 12;
+                       options.cloud_requests_per_s = 2;
                    },
                    {}});
     all.push_back({"repeated_late_writes", {}, [](SimulatedDeployment& deployment) {
@@ -197,13 +212,13 @@
                    }});
 }
 
-void add_late_messages(std::vector<Scenario>& all) {
+void add_message_faults(std::vector<Scenario>& all) {
     all.push_back(
         {"repeats", {}, [](SimulatedDeployment& deployment) { deployment.faults.duplicate_requests = 0.2; }});
     all.push_back({"late_reports", {}, [](SimulatedDeployment& deployment) {
                        deployment.faults.duplicate_heartbeats = 0.2;
                        deployment.faults.heartbeats_replayed_to_next_leader = 0.3;
-                       crash_for(deployment, 0, troubles_from, 10);
+                       crash_for(deployment, 0, fault_start_s, 10);
                        crash_for(deployment, 1, 60, 10);
                    }});
     all.push_back({"late_commands", {}, [](SimulatedDeployment& deployment) {
@@ -218,30 +233,30 @@
                        deployment.faults.store_response_delay_s = 0.5;
                    }});
     all.push_back({"loss", {}, [](SimulatedDeployment& deployment) {
-                       during(
+                       inject_fault(
                            deployment, [&deployment] { deployment.network.loss_probability = 0.05; },
                            [&deployment] { deployment.network.loss_probability = 0; });
                    }});
 }
 
-void play_services(SimulatedDeployment& deployment) {
+void schedule_services(SimulatedDeployment& deployment) {
     for (int i = 0; i < 6; ++i) submit_at(deployment, 4 + 3 * i, service(deployment, 100 + i, 1 + 2 * i));
-    deployment.after(40, [&deployment] { deployment.workers.crash(machine(1)); });
-    deployment.after(45, [&deployment] { deployment.workers.crash(machine(3)); });
+    deployment.after(40, [&deployment] { deployment.workers.crash(machine_id(1)); });
+    deployment.after(45, [&deployment] { deployment.workers.crash(machine_id(3)); });
     crash_for(deployment, 1, 70, 10);
     for (int i = 0; i < 4; ++i)
         deployment.after(100 + 3 * i, [&deployment, i] { deployment.cancel(job_id(100 + i)); });
 }
 
-void play_gangs(SimulatedDeployment& deployment) {
+void schedule_gangs(SimulatedDeployment& deployment) {
     for (int i = 0; i < 15; ++i)
         submit_at(deployment, 5 + 4 * i, gang(deployment, 100 + i, 2 + (i * 3) % 14, 2, 12 + i));
-    deployment.after(30, [&deployment] { deployment.workers.crash(machine(2)); });
-    deployment.after(50, [&deployment] { deployment.workers.hang(machine(4), 15); });
+    deployment.after(30, [&deployment] { deployment.workers.crash(machine_id(2)); });
+    deployment.after(50, [&deployment] { deployment.workers.hang(machine_id(4), 15); });
     crash_for(deployment, 0, 55, 10);
 }
 
-void play_two_zones(SimulatedDeployment& deployment) {
+void schedule_two_zones(SimulatedDeployment& deployment) {
     for (int i = 0; i < 16; ++i) {
         Json body = i % 4 == 3 ? gang(deployment, 100 + i, 3, 1, 15)
                                : deployment.job(job_id(100 + i), 4 + i, 1, 8 + i);
@@ -250,10 +265,10 @@
         if (i % 5 == 0) body["field"] = "b";
         submit_at(deployment, 4 + 4 * i, body);
     }
-    crash_for(deployment, 2, troubles_from, 10);
+    crash_for(deployment, 2, fault_start_s, 10);
 }
 
-void play_spot_notices(SimulatedDeployment& deployment) {
+void schedule_spot_notices(SimulatedDeployment& deployment) {
     for (int round = 0; round < 5; ++round)
         deployment.after(25 + 12 * round, [&deployment, round] {
             int noticed = 0;
@@ -263,61 +278,66 @@
         });
 }
 
-void play_cancellations(SimulatedDeployment& deployment) {
+void schedule_cancellations(SimulatedDeployment& deployment) {
     for (int i = 0; i < 60; i += 3)
         deployment.after(8 + 2.2 * i, [&deployment, i] {
             if (deployment.is_accepted(job_id(i))) deployment.cancel(job_id(i));
         });
-    crash_for(deployment, 0, troubles_from, 10);
+    crash_for(deployment, 0, fault_start_s, 10);
     deployment.after(50, [&deployment] { deployment.store.outage = true; });
     deployment.after(58, [&deployment] { deployment.store.outage = false; });
-    deployment.after(65, [&deployment] { set_links(deployment, 1, Side::workers, LinkState::drop); });
-    deployment.after(80, [&deployment] { set_links(deployment, 1, Side::workers, LinkState::up); });
+    deployment.after(65, [&deployment] { set_links(deployment, 1, PartyGroup::workers, LinkState::drop); });
+    deployment.after(80, [&deployment] { set_links(deployment, 1, PartyGroup::workers, LinkState::up); });
 }
 
-void play_upgrade(SimulatedDeployment& deployment) {
+void schedule_upgrade(SimulatedDeployment& deployment) {
     submit_at(deployment, 6, deployment.job(job_id(100), 300, 0.25, 15));
     submit_at(deployment, 12, deployment.job(job_id(101), 150, 0.25, 60));
-    for (int node = 0; node < 3; ++node)
-        deployment.after(25 + 12 * node, [&deployment, node] { deployment.upgrade_controller(node); });
+    for (int controller = 0; controller < 3; ++controller)
+        deployment.after(25 + 12 * controller,
+                         [&deployment, controller] { deployment.upgrade_controller(controller); });
     deployment.after(75, [&deployment] { deployment.store.lower_limits(2048, 4, 30); });
     submit_at(deployment, 80, deployment.job(job_id(102), 200, 0.25, 10));
 }
 
 void add_job_kinds(std::vector<Scenario>& all) {
     all.push_back({"quiet", {}, {}});
-    all.push_back({"gangs", {}, play_gangs});
-    all.push_back({"services", {}, play_services});
-    all.push_back({"two_zones", [](DeploymentOptions& o) { o.zones = {"a", "b"}; }, play_two_zones});
-    all.push_back({"spot_notices", {}, play_spot_notices});
+    all.push_back({"gangs", {}, schedule_gangs});
+    all.push_back({"services", {}, schedule_services});
+    all.push_back({"two_zones",
+                   [](DeploymentOptions& options) {
+                       options.zones = {"a", "b"};
+                   },
+                   schedule_two_zones});
+    all.push_back({"spot_notices", {}, schedule_spot_notices});
     all.push_back({"limited_team", {}, [](SimulatedDeployment& deployment) {
                        for (int i = 0; i < 10; ++i)
                            submit_at(deployment, 4 + 3 * i,
                                      deployment.job(job_id(100 + i), 6 + i, 1, 9, "blue"));
                        crash_for(deployment, 1, 40, 10);
                    }});
-    all.push_back({"cancellations", {}, play_cancellations});
-    all.push_back({"upgrade", set_upgrade, play_upgrade});
+    all.push_back({"cancellations", {}, schedule_cancellations});
+    all.push_back({"upgrade", configure_upgrade, schedule_upgrade});
 }
 
-void set_fleet(DeploymentOptions& o) {
-    o.controllers = 5;
-    o.cloud_capacity = 1100;
-    o.max_value_kb = 8;
-    o.heartbeat_interval_s = 5;
-    o.lease_s = 26.5;
-    o.cancel_s = 46.5;
-    o.store_requests_per_s = 600;
-    o.store_writes_per_s = 70;
-    o.cloud_requests_per_s = 7;
-    o.memory_mb = 188;
-    o.max_sockets = 3000;
-    o.worker_tick_s = 0.5;
-    o.enforce_rate_limits = true;
-    o.boot_s = 20;
+void configure_large_fleet(DeploymentOptions& options) {
+    options.controllers = 5;
+    options.cloud_capacity = 1100;
+    options.max_value_kb = 8;
+    options.heartbeat_interval_s = 5;
+    options.lease_s = 26.5;
+    options.cancel_s = 46.5;
+    options.store_requests_per_s = 600;
+    options.store_writes_per_s = 70;
+    options.cloud_requests_per_s = 7;
+    options.memory_mb = 188;
+    options.max_sockets = 3000;
+    options.worker_tick_s = 0.5;
+    options.enforce_rate_limits = true;
+    options.boot_s = 20;
 }
 
-void play_fleet(SimulatedDeployment& deployment) {
+void schedule_large_fleet(SimulatedDeployment& deployment) {
     for (int i = 0; i < 1000; ++i) deployment.workers.add("small", "a", false, 1 + 4 * deployment.chance());
     for (int i = 0; i < 25; ++i) {
         Json body = deployment.job(job_id(100 + i), 40, 4, 10 + i);
@@ -330,32 +350,34 @@
 std::vector<Scenario> scenarios() {
     std::vector<Scenario> all;
     add_job_kinds(all);
-    all.push_back({"thousand_machines", set_fleet, play_fleet, 50});
-    add_controller_troubles(all);
+    all.push_back({"thousand_machines", configure_large_fleet, schedule_large_fleet, 50});
+    add_controller_faults(all);
     add_partitions(all);
-    add_state_troubles(all);
-    add_state_limits(all);
-    add_late_messages(all);
+    add_store_faults(all);
+    add_store_limits(all);
+    add_message_faults(all);
     return all;
 }
 
+/// Runs a scenario and writes its trace file. Returns false if the trace is empty or could not be written.
 bool trace(const Scenario& scenario, std::uint64_t seed, const std::filesystem::path& directory) {
     MessageRecorder recorder((directory / (scenario.name + ".trace")).string());
     {
         DeploymentOptions options;
         options.seed = seed;
         options.recorder = &recorder;
-        if (scenario.set) scenario.set(options);
+        if (scenario.configure) scenario.configure(options);
         SimulatedDeployment deployment(options);
-        submit_usual(deployment);
-        if (scenario.play) scenario.play(deployment);
-        deployment.run(scenario.length);
+        submit_common_jobs(deployment);
+        if (scenario.schedule) scenario.schedule(deployment);
+        deployment.run(scenario.duration_s);
     }
     std::printf("%s %llu messages\n", scenario.name.c_str(),
                 static_cast<unsigned long long>(recorder.messages()));
     return recorder.finish() && recorder.messages() > 0;
 }
 
+/// Runs the program: lists the scenarios, or traces all of them or one. Returns the exit code.
 int run(const std::vector<std::string>& arguments) {
     const std::vector<Scenario> all = scenarios();
     if (arguments.size() == 1 && arguments[0] == "--list") {
@@ -367,14 +389,14 @@
         return 2;
     }
     std::filesystem::create_directories(arguments[0]);
-    bool known = false, good = true;
+    bool is_known = false, succeeded = true;
     for (std::size_t i = 0; i < all.size(); ++i) {
         if (arguments.size() == 2 && arguments[1] != all[i].name) continue;
-        known = true;
-        good = trace(all[i], i + 1, arguments[0]) && good;
+        is_known = true;
+        succeeded = trace(all[i], i + 1, arguments[0]) && succeeded;
     }
-    if (!known) std::fprintf(stderr, "no such scenario\n");
-    return known && good ? 0 : 1;
+    if (!is_known) std::fprintf(stderr, "no such scenario: %s\n", arguments.back().c_str());
+    return is_known && succeeded ? 0 : 1;
 }
 
 }  // namespace
--- a/tests/fake_state_observer.h
+++ b/tests/fake_state_observer.h
@@ -1,10 +1,10 @@
-/// Observers of the state cache for tests that use it alone.
+/// A state cache observer for unit tests.
 #pragma once
 #include "store/state_observer.h"
 
 namespace zincdyke::testing {
 
-/// Counts what the tests ask about, and ignores the rest.
+/// A StateObserver that counts cancelled jobs and ignores all other events.
 class FakeStateObserver : public StateObserver {
   public:
     void on_job_changed(const JobId&) override {}
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -52,7 +52,7 @@
     RandomSource& random_;
     FakeWorkers& workers_;
     std::map<std::string, std::vector<std::string>>
-        machines_of_rental_;  // by rental id, for idempotent requests
+        machines_of_rental_;  // machine ids by rental id; make rentals idempotent
     double tokens_ = 0, refilled_at_ = -1;
 };
 
--- a/tests/fakes/controller_hosts.h
+++ b/tests/fakes/controller_hosts.h
@@ -83,8 +83,8 @@
   private:
     struct Host {
         Settings settings;
-        std::unique_ptr<SimEnv> env;  // must outlive the node, which uses it
-        std::unique_ptr<Node> node;   // null if the process is not running
+        std::unique_ptr<SimEnv> env;  // environment of the controller, which it must outlive
+        std::unique_ptr<Node> node;   // the controller; null if its process is not running
         std::uint64_t incarnation = 0;
         double frozen_until = 0;
     };
--- a/tests/fakes/history_checker.cpp
+++ b/tests/fakes/history_checker.cpp
@@ -27,18 +27,18 @@
             std::max(latest_start_after_cancellation_s, now - history.cancelled_at);
         if (now > history.cancelled_at + cancel_s) add_violation("ran_cancelled", job, task, machine);
     }
-    if (!is_allowed_place(job, task, history.facts, machines_[machine]))
+    if (!is_allowed_place(job, task, history.properties, machines_[machine]))
         add_violation("wrong_place", job, task, machine);
-    if (executing_on.insert(machine).second) add_usage(history.facts, 1);
-    check_quota(history.facts.team);
+    if (executing_on.insert(machine).second) add_usage(history.properties, 1);
+    check_quota(history.properties.team);
 }
 
-bool HistoryChecker::is_allowed_place(const std::string& job, int task, const JobProperties& facts,
+bool HistoryChecker::is_allowed_place(const std::string& job, int task, const JobProperties& properties,
                                       const MachineProperties& machine) {
-    if (facts.types_given && !facts.types.contains(machine.type)) return false;
-    if (!facts.zone.empty() && facts.zone != machine.zone) return false;
-    if (machine.spot && !facts.spot) return false;
-    if (!facts.one_zone && !facts.spread) return true;
+    if (properties.types_given && !properties.types.contains(machine.type)) return false;
+    if (!properties.zone.empty() && properties.zone != machine.zone) return false;
+    if (machine.spot && !properties.spot) return false;
+    if (!properties.one_zone && !properties.spread) return true;
     int in_this_zone = 1;
     for (auto it = machines_by_task_.lower_bound({job, 0});
          it != machines_by_task_.end() && it->first.first == job; ++it) {
@@ -46,17 +46,17 @@
         for (const auto& other : it->second) {
             if (machines_[other].zone == machine.zone)
                 ++in_this_zone;
-            else if (facts.one_zone)
+            else if (properties.one_zone)
                 return false;
         }
     }
-    return !facts.spread || in_this_zone <= (facts.tasks + 1) / 2;
+    return !properties.spread || in_this_zone <= (properties.tasks + 1) / 2;
 }
 
 void HistoryChecker::task_stopped(const std::string& job, int task, const std::string& machine) {
     const auto it = machines_by_task_.find({job, task});
     if (it == machines_by_task_.end() || it->second.erase(machine) == 0) return;
-    add_usage(jobs_[job].facts, -1);
+    add_usage(jobs_[job].properties, -1);
     if (it->second.empty()) machines_by_task_.erase(it);
 }
 
@@ -79,7 +79,7 @@
 void HistoryChecker::response_received(double now, const std::string& job, bool submission, int status,
                                        const std::string& phase) {
     const auto it = jobs_.find(job);
-    const bool is_known = it != jobs_.end() && !it->second.facts.team.empty();
+    const bool is_known = it != jobs_.end() && !it->second.properties.team.empty();
     if (status == 200 && it != jobs_.end()) it->second.unanswered_since = -1;
     if (status == 200 || status == 201) {
         if (!is_known) return add_violation("invented", job, -1, "");
@@ -97,7 +97,7 @@
         add_violation("went_back", id, -1, job.final_phase + " then " + phase);
     if (phase == "withdrawn" && !job.cancellation_requested)
         add_violation("went_back", id, -1, "cancelled by nobody");
-    if (phase == "done" && static_cast<int>(job.completed_tasks.size()) < job.facts.tasks)
+    if (phase == "done" && static_cast<int>(job.completed_tasks.size()) < job.properties.tasks)
         add_violation("not_done", id, -1, "");
     if (is_final(phase)) job.final_phase = phase;
     if (phase == "withdrawn" && job.cancelled_at < 0) job.cancelled_at = now;
@@ -110,22 +110,22 @@
     std::map<std::string, JobCounts> groups;
     std::map<std::string, int> max_tasks_by_class;
     for (const auto& [id, job] : jobs_)
-        max_tasks_by_class[job.facts.job_class] =
-            std::max(max_tasks_by_class[job.facts.job_class], job.facts.tasks);
+        max_tasks_by_class[job.properties.job_class] =
+            std::max(max_tasks_by_class[job.properties.job_class], job.properties.tasks);
     for (const auto& [id, job] : jobs_) {
         if (!job.accepted || job.cancellation_requested) continue;
-        const JobProperties& facts = job.facts;
-        const bool is_large = facts.tasks * 5 >= max_tasks_by_class[facts.job_class] * 4;
-        const bool is_done = static_cast<int>(job.completed_tasks.size()) >= facts.tasks;
-        std::vector<std::string> names{"class " + facts.job_class, "team " + facts.team};
-        if (is_large) names.push_back("largest of " + facts.job_class);
+        const JobProperties& properties = job.properties;
+        const bool is_large = properties.tasks * 5 >= max_tasks_by_class[properties.job_class] * 4;
+        const bool is_done = static_cast<int>(job.completed_tasks.size()) >= properties.tasks;
+        std::vector<std::string> names{"class " + properties.job_class, "team " + properties.team};
+        if (is_large) names.push_back("largest of " + properties.job_class);
         for (const auto& name : names) {
             ++groups[name].jobs;
             groups[name].done += is_done ? 1 : 0;
         }
         if (is_large &&
             (job.first_started_at < 0 ||
-             job.first_started_at - std::max(facts.submitted_at, faults_ended_at) > max_start_delay_s))
+             job.first_started_at - std::max(properties.submitted_at, faults_ended_at) > max_start_delay_s))
             add_violation("four_minutes", id, -1, "");
     }
     for (const auto& [name, counts] : groups)
@@ -141,10 +141,10 @@
         add_violation("quota", team, -1, "");
 }
 
-void HistoryChecker::add_usage(const JobProperties& facts, int tasks) {
-    TeamLimit& used = usage_by_team_[facts.team];
-    used.cpu += facts.cpu * tasks;
-    used.gpu += facts.gpu * tasks;
+void HistoryChecker::add_usage(const JobProperties& properties, int tasks) {
+    TeamLimit& used = usage_by_team_[properties.team];
+    used.cpu += properties.cpu * tasks;
+    used.gpu += properties.gpu * tasks;
 }
 
 void HistoryChecker::add_violation(const std::string& rule, const std::string& job, int task,
--- a/tests/fakes/history_checker.h
+++ b/tests/fakes/history_checker.h
@@ -31,12 +31,6 @@
 
 /// Records violations of the scheduler's guarantees. The fakes report the tasks that workers execute and the
 /// responses that users receive; the checker uses no state of the scheduler. Times are simulated seconds.
-///
-/// `ran_twice`: a task ran on two machines. `wrong_place`: type, zone, spot or spread was violated.
-/// `ran_cancelled`: a task ran details than `cancel_s` after a confirmed cancellation. `invented`: a response
-/// reported a job that nobody submitted. `forgotten`: an accepted job is unknown, or unanswered for 75 s.
-/// `went_back`: a final state changed. `not_done`: a job was reported done early. `waited`: a job waited 90 s
-/// despite free capacity. `quota`, `nothing_ran`; `half_served`, `four_minutes`: see check_service_quality.
 class HistoryChecker {
   public:
     std::map<std::string, TeamLimit> limits;  ///< Resource limits by team.
@@ -52,30 +46,41 @@
     /// start.
     double latest_start_after_cancellation_s = -1;
 
-    void machine_added(const std::string& id, MachineProperties facts) { machines_[id] = std::move(facts); }
-    void job_submitted(const std::string& job, JobProperties facts) { jobs_[job].facts = std::move(facts); }
+    void machine_added(const std::string& id, MachineProperties properties) {
+        machines_[id] = std::move(properties);
+    }
+    void job_submitted(const std::string& job, JobProperties properties) {
+        jobs_[job].properties = std::move(properties);
+    }
     void cancellation_requested(const std::string& job) { jobs_[job].cancellation_requested = true; }
 
-    /// Reports that a task has its image and executes on a machine.
+    /// Reports that a task has its image and executes on a machine. Violations: `ran_twice` (the task runs on
+    /// another machine too), `wrong_place` (the job's machine types, zone, spot or spread setting doesn't
+    /// allow the machine), `quota` (the team is over its limit), and `ran_cancelled` (the job's cancellation
+    /// was confirmed more than `cancel_s` ago).
     void task_started(double now, const std::string& job, int task, const std::string& machine);
     /// Reports that a task no longer executes on a machine.
     void task_stopped(const std::string& job, int task, const std::string& machine);
     /// Reports that a task completed successfully.
     void task_completed(const std::string& job, int task) { jobs_[job].completed_tasks.insert(task); }
 
-    /// Checks for tasks of cancelled jobs that still execute. Must be called regularly.
+    /// Must be called regularly. Violation: `ran_cancelled` (a task still executes more than `cancel_s` after
+    /// its job's cancellation was confirmed).
     void tick(double now);
 
-    /// Reports that a user sends a request for a job's state.
+    /// Reports that a user sends a request for a job's state. Violation: `forgotten` (an accepted job has
+    /// been without a response for 75 s).
     void poll_sent(double now, const std::string& job);
-    /// Reports a response that a user received to a submission, a request for the job's state or a
-    /// cancellation.
+    /// Reports the response to a user's submission, request for the job's state or cancellation. Violations:
+    /// `invented` (the job was never submitted), `forgotten` (an accepted job is unknown or rejected),
+    /// `went_back` (a final phase changed, or the job is cancelled without a request), and `not_done` (the
+    /// job is reported done before all its tasks completed).
     void response_received(double now, const std::string& job, bool submission, int status,
                            const std::string& phase);
 
-    /// Reports that a job waited for 90 s after the last fault although it could have been started.
+    /// Reports that a job waited for 90 s although it could have been started. Violation: `waited`.
     void job_waited_despite_capacity(const std::string& job) { add_violation("waited", job, -1, ""); }
-    /// Runs the checks for the end of a test: some task must have started.
+    /// Runs the check for the end of a test. Violation: `nothing_ran` (no task has ever started).
     void finish() {
         if (starts == 0) add_violation("nothing_ran", "", -1, "");
     }
@@ -85,25 +90,25 @@
     void check_service_quality(double max_start_delay_s = 240);
 
     int done_tasks(const std::string& job) { return static_cast<int>(jobs_[job].completed_tasks.size()); }
-    bool all_done(const std::string& job) { return done_tasks(job) == jobs_[job].facts.tasks; }
+    bool all_done(const std::string& job) { return done_tasks(job) == jobs_[job].properties.tasks; }
     int start_count(const std::string& job) { return jobs_[job].starts; }
 
   private:
     /// The recorded history of a job. A time of -1 means that the event has not happened.
     struct Job {
-        JobProperties facts;
+        JobProperties properties;
         bool accepted = false, cancellation_requested = false;
         double cancelled_at = -1, first_started_at = -1, unanswered_since = -1;
-        std::string final_phase;  // final phase that a user received; empty: none
+        std::string final_phase;  // final phase of the job in a response to a user; empty: none
         std::set<int> completed_tasks;
         int starts = 0;
     };
     using TaskKey = std::pair<std::string, int>;
-    [[nodiscard]] bool is_allowed_place(const std::string& job, int task, const JobProperties& facts,
+    [[nodiscard]] bool is_allowed_place(const std::string& job, int task, const JobProperties& properties,
                                         const MachineProperties& machine);
     void check_phase(double now, const std::string& id, Job& job, const std::string& phase);
     void check_quota(const std::string& team);
-    void add_usage(const JobProperties& facts, int tasks);
+    void add_usage(const JobProperties& properties, int tasks);
     void add_violation(const std::string& rule, const std::string& job, int task, const std::string& details);
 
     std::map<std::string, TeamLimit> usage_by_team_;
--- a/tests/fakes/key_value_store.h
+++ b/tests/fakes/key_value_store.h
@@ -21,7 +21,7 @@
 /// limits at any time.
 class FakeKeyValueStore {
   public:
-    /// The value of a key.
+    /// The stored value of a key and its revision.
     struct Entry {
         Json value;
         std::uint64_t revision = 0;  ///< Revision of the commit that last wrote the key.
@@ -64,7 +64,7 @@
     /// Lowers the limits and rejects transactions over the size limits with status 400, like a service that
     /// lowers its limits without notice.
     void lower_limits(std::size_t value_bytes, std::size_t operations, double writes_per_s);
-    std::uint64_t rejected_transactions = 0;  ///< Transactions rejected by lowered limits.
+    std::uint64_t rejected_transactions = 0;  ///< Number of transactions rejected by lowered limits.
 
     std::size_t list_page_size = 7;  ///< Maximum items in a response to a list request.
     /// Watch responses larger than this are lost; 0: no limit.
@@ -81,13 +81,13 @@
     };
     struct Watch {
         std::string prefix, from;
-        std::uint64_t after = 0;  // revision that the client already has
+        std::uint64_t after = 0;  // latest revision that the watch's client has received
         double expires_at = 0;
         Reply reply;
     };
     struct Change {
         std::string key;
-        std::optional<Json> value;  // empty if the key was deleted
+        std::optional<Json> value;  // new value of the key; empty if it was deleted
         std::uint64_t revision = 0;
     };
     /// A continuously refilled token bucket; each request or written key takes one token.
--- a/tests/fakes/network.h
+++ b/tests/fakes/network.h
@@ -40,8 +40,7 @@
     std::set<std::string> parties_without_inbound;
 
   private:
-    using LinkEndpoints =
-        std::pair<std::string, std::string>;  // sorted, so that both directions have one key
+    using LinkEndpoints = std::pair<std::string, std::string>;  // sorted names of the link's two parties
     static LinkEndpoints endpoints(const std::string& one, const std::string& other) {
         return std::minmax(one, other);
     }
--- a/tests/fakes/sim_env.cpp
+++ b/tests/fakes/sim_env.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double steady_clock_start_s = 1000;  // differs from the origin of the wall clock
+constexpr double steady_clock_start_s = 1000;  // differs from the wall clock's origin, as on a real host
 
 }  // namespace
 
--- a/tests/fakes/simulated_deployment.h
+++ b/tests/fakes/simulated_deployment.h
@@ -55,9 +55,9 @@
     MessageRecorder* recorder = nullptr;
 };
 
-/// Composes the fakes and lets time pass. Each part owns its state and its faults: tests set `store.outage`,
-/// `network.loss_probability`, `faults.late_commits` and the like directly; the functions here are short
-/// forms of the most common steps. Controllers are numbered from 0. All times are simulated seconds.
+/// A simulated deployment of controllers and fakes. Tests inject faults by setting fields of the fakes, such
+/// as `store.outage` or `network.loss_probability`; the member functions are shortcuts for common operations.
+/// Controllers are numbered from 0. All times are in simulated seconds.
 class SimulatedDeployment {
   public:
     using Options = DeploymentOptions;
--- a/tests/fakes/task_runner.cpp
+++ b/tests/fakes/task_runner.cpp
@@ -180,7 +180,7 @@
     ++task.generation;
     worker.prompt_heartbeat(clock_.now());
     const bool gang = is_gang(task.job);
-    const bool is_service = body(task.job).value("shape", "") == "service";  // replicas have no result
+    const bool is_service = body(task.job).value("shape", "") == "service";  // service tasks have no result
     if (cause == "done" && !is_service) {
         // A gang completes as a unit: when one task is done, all are.
         for (int i = 0; i < body(task.job)["shards"].get<int>(); ++i)
--- a/tests/fakes/users.cpp
+++ b/tests/fakes/users.cpp
@@ -20,22 +20,23 @@
 }
 
 JobProperties properties_of(const Json& body, double now) {
-    JobProperties facts;
-    facts.team = body["crew"].get<std::string>();
-    facts.tasks = body["shards"].get<int>();
-    facts.job_class = body.value("ilk", "");
-    facts.submitted_at = now;
-    facts.cpu = body["vcpus"].get<double>();
-    facts.gpu = body["gpus"].get<double>();
-    facts.one_zone = body["one_zone"].get<bool>();
-    facts.spread = body["apart"].get<bool>();
-    facts.spot = body["loaners"].get<bool>();
-    if (body.contains("field") && body["field"].is_string()) facts.zone = body["field"].get<std::string>();
+    JobProperties properties;
+    properties.team = body["crew"].get<std::string>();
+    properties.tasks = body["shards"].get<int>();
+    properties.job_class = body.value("ilk", "");
+    properties.submitted_at = now;
+    properties.cpu = body["vcpus"].get<double>();
+    properties.gpu = body["gpus"].get<double>();
+    properties.one_zone = body["one_zone"].get<bool>();
+    properties.spread = body["apart"].get<bool>();
+    properties.spot = body["loaners"].get<bool>();
+    if (body.contains("field") && body["field"].is_string())
+        properties.zone = body["field"].get<std::string>();
     if (body.contains("breeds") && body["breeds"].is_array()) {
-        facts.types_given = true;
-        for (const auto& type : body["breeds"]) facts.types.insert(type.get<std::string>());
+        properties.types_given = true;
+        for (const auto& type : body["breeds"]) properties.types.insert(type.get<std::string>());
     }
-    return facts;
+    return properties;
 }
 
 }  // namespace
--- a/tests/fakes/users.h
+++ b/tests/fakes/users.h
@@ -59,7 +59,7 @@
         std::size_t host = 0;
         double sent_at = 0;
         std::shared_ptr<bool> is_completed =
-            std::make_shared<bool>(false);  // true after a response or a timeout
+            std::make_shared<bool>(false);  // true after the attempt got a response or timed out
     };
     static bool is_retried(const Request& request) { return request.kind != RequestKind::poll; }
     void send(const Request& request);
--- a/tests/fakes/waiting_job_monitor.cpp
+++ b/tests/fakes/waiting_job_monitor.cpp
@@ -79,7 +79,7 @@
         return false;
     const Progress progress = progress_of(id);
     const int tasks = job.body.value("shards", 0);
-    const bool gang = job.body.value("shape", "") == "group";  // all tasks start together
+    const bool gang = job.body.value("shape", "") == "group";  // all tasks of a gang start together
     const int tasks_to_start =
         gang ? (progress.started == 0 ? tasks : 0) : std::min(1, tasks - progress.started);
     return tasks_to_start > 0 && is_under_quota(job.body, tasks_to_start, usage) &&
--- a/tests/fakes/waiting_job_monitor.h
+++ b/tests/fakes/waiting_job_monitor.h
@@ -26,11 +26,11 @@
     /// Resource usage of the tasks on all machines.
     struct Usage {
         std::map<std::string, TeamLimit> by_team;
-        std::map<std::string, double> free_cpus;  // by machine id, without machines that accept no tasks
+        std::map<std::string, double> free_cpus;  // free CPUs of the machines that accept tasks
     };
     /// Number and zones of a job's started tasks.
     struct Progress {
-        int started = 0;  // includes completed tasks
+        int started = 0;  // number of started tasks, including completed ones
         std::set<std::string> zones;
     };
     [[nodiscard]] Usage current_usage() const;
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -20,8 +20,8 @@
     /// members), "running", "saving" (a checkpoint) or "ended".
     std::string phase = "fetching";
     std::string end_cause;  ///< Reason why the task ended, as named in the protocol; empty: not ended.
-    bool checkpoint_saved = false;  ///< Whether a checkpoint was saved before the end.
-    double run_time_s = 0;          ///< Run time of the attempt.
+    bool checkpoint_saved = false;  ///< Whether a checkpoint was saved before the task ended.
+    double run_time_s = 0;
     /// Incremented when the phase changes, so that events scheduled for an earlier phase are ignored.
     std::uint64_t generation = 0;
 };
@@ -31,7 +31,7 @@
 struct FakeWorker {
     std::string id, address, type, zone;
     bool spot = false;
-    bool alive = true;    ///< False after the machine crashed.
+    bool alive = true;    ///< Whether the machine runs; false after a crash.
     bool hung = false;    ///< The agent is suspended while its lease continues to run.
     bool faulty = false;  ///< All tasks on the machine fail.
     double created_at = 0;
@@ -46,8 +46,8 @@
     double last_token_heartbeat_at = -1e9;  ///< Time when a higher fencing token last triggered a heartbeat.
     double lease_renewed_at = 0;
 
-    std::optional<std::size_t>
-        controller;  ///< Receiver of the worker's heartbeats; empty before it has booted.
+    /// Number of the controller that receives the worker's heartbeats; empty until the machine has booted.
+    std::optional<std::size_t> controller;
     std::uint64_t heartbeats_sent = 0;
     std::uint64_t heartbeat_in_flight = 0;  ///< Number of the heartbeat that awaits its response; 0: none.
     std::uint64_t sequence_number = 0;      ///< Sequence number of the last state report.
--- a/tests/manual_env.h
+++ b/tests/manual_env.h
@@ -1,4 +1,4 @@
-/// A world for tests of single classes: the test moves the clock and answers the requests.
+/// An environment for unit tests in which the test controls the clock and the HTTP responses.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -14,10 +14,11 @@
 
 namespace zincdyke::testing {
 
-/// Runs timers when the test moves the clock, and keeps HTTP requests until the test answers them. Requests
-/// never time out by themselves.
+/// An Env whose timers run when the test advances the clock, and whose HTTP requests are kept until the test
+/// answers them. Requests never time out.
 class ManualEnv : public Env {
   public:
+    /// An HTTP request and the callback for its response.
     struct Request {
         HttpRequest http;
         Reply reply;
@@ -25,46 +26,47 @@
 
     SteadyTime now() override { return now_; }
     WallTime wall() override { return {}; }
-    TimerId after(Duration delay, std::function<void()> fn) override {
-        timers_.emplace(std::pair{now_ + std::max(delay, Duration(0)), ++last_timer_}, std::move(fn));
+    TimerId after(Duration delay, std::function<void()> callback) override {
+        timers_.emplace(std::pair{now_ + std::max(delay, Duration(0)), ++last_timer_}, std::move(callback));
         return last_timer_;
     }
     void cancel(TimerId id) override {
         std::erase_if(timers_, [&](const auto& timer) { return timer.first.second == id; });
     }
-    void http(const std::string&, HttpRequest request, Duration, Reply done) override {
-        requests.push_back({std::move(request), std::move(done)});
+    void http(const std::string&, HttpRequest request, Duration, Reply reply) override {
+        requests.push_back({std::move(request), std::move(reply)});
     }
     void send_peer(const NodeName&, std::string) override {}
     std::mt19937_64& rng() override { return rng_; }
 
-    /// Runs what is due until then, in order.
+    /// Advances the clock by `duration` and runs the timers that expire, in order of expiry.
     void run_for(Duration duration) {
         const SteadyTime end = now_ + duration;
         while (!timers_.empty() && timers_.begin()->first.first <= end) {
             now_ = std::max(now_, timers_.begin()->first.first);
-            const auto fn = std::move(timers_.begin()->second);
+            const auto callback = std::move(timers_.begin()->second);
             timers_.erase(timers_.begin());
-            fn();
+            callback();
         }
         now_ = end;
     }
-    /// Moves the clock and runs nothing: the process gets no processor time.
+    /// Advances the clock without running timers, to simulate a stalled process.
     void stall(Duration duration) { now_ += duration; }
 
-    /// How many unanswered requests there are whose path begins so.
-    [[nodiscard]] std::size_t pending_requests(const std::string& path) const {
-        return static_cast<std::size_t>(
-            std::count_if(requests.begin(), requests.end(),
-                          [&](const Request& request) { return request.http.path.rfind(path, 0) == 0; }));
+    /// Returns the number of unanswered requests whose path starts with `path_prefix`.
+    [[nodiscard]] std::size_t pending_requests(const std::string& path_prefix) const {
+        return static_cast<std::size_t>(std::count_if(
+            requests.begin(), requests.end(),
+            [&](const Request& request) { return request.http.path.rfind(path_prefix, 0) == 0; }));
     }
-    /// Answers the oldest request whose path begins so, and returns it.
-    HttpRequest answer(const std::string& path, int status, std::string body = "{}") {
+    /// Answers the oldest request whose path starts with `path_prefix`, and returns that request. Fails the
+    /// test if there is none.
+    HttpRequest answer(const std::string& path_prefix, int status, std::string body = "{}") {
         const auto found = std::find_if(requests.begin(), requests.end(), [&](const Request& request) {
-            return request.http.path.rfind(path, 0) == 0;
+            return request.http.path.rfind(path_prefix, 0) == 0;
         });
         if (found == requests.end()) {
-            ADD_FAILURE() << "no request for " << path;
+            ADD_FAILURE() << "no pending request whose path starts with " << path_prefix;
             return {};
         }
         const Request request = std::move(*found);
@@ -73,7 +75,7 @@
         return request.http;
     }
 
-    std::vector<Request> requests;  // not answered yet, oldest first
+    std::vector<Request> requests;  // unanswered requests, oldest first
 
   private:
     SteadyTime now_{std::chrono::seconds(1000)};
--- a/tests/message_recorder.h
+++ b/tests/message_recorder.h
@@ -1,4 +1,4 @@
-// Writes down, a line each, what the parties of a simulated deployment tell each other.
+/// Records the messages of a simulated deployment in a trace file, one line per message.
 #pragma once
 #include <cstdint>
 #include <fstream>
@@ -9,23 +9,23 @@
 
 namespace zincdyke::testing {
 
-/// Records messages in the order in which they are sent or given. It only looks: it draws no random number
-/// and schedules nothing, so a deployment behaves alike with it and without it. It must outlive its
-/// deployment.
-///
-/// A line holds, with tabs between: simulated time, kind, sender, receiver, XXH64 of the full content, and
-/// the beginning of the content. Of a frame that beginning is its size and its kind byte.
+/// Records messages in the order in which they are sent or delivered. Recording draws no random numbers and
+/// schedules no events, so it doesn't change the behaviour of the deployment. The recorder must outlive the
+/// deployment. Each line has tab-separated fields: simulated time, kind, sender, receiver, XXH64 hash of the
+/// full content, and the beginning of the content (for a peer frame: its size and kind byte).
 class MessageRecorder {
   public:
+    /// The kind of a recorded message.
     enum class Kind {
-        request,           ///< sent by a controller over HTTP
-        response,          ///< given to a controller, also the empty one when time is up
-        received_request,  ///< a request that arrives at a controller
-        sent_response,     ///< the controller's reply to it
-        frame,             ///< sent by a controller to a peer
-        write,             ///< carried out by the state service
+        request,           ///< HTTP request sent by a controller
+        response,          ///< HTTP response delivered to a controller; empty after a timeout
+        received_request,  ///< HTTP request received by a controller
+        sent_response,     ///< HTTP response sent by a controller
+        frame,             ///< frame sent by a controller to a peer
+        write,             ///< write executed by the key-value store
     };
 
+    /// Creates the trace file `file`, or overwrites it.
     explicit MessageRecorder(const std::string& file);
 
     void request(double now, Kind kind, std::string_view from, std::string_view to,
@@ -33,19 +33,21 @@
     void response(double now, Kind kind, std::string_view from, std::string_view to,
                   const zincdyke::HttpResponse& response);
     void frame(double now, std::string_view from, std::string_view to, std::string_view frame);
-    /// `value` is the new value's text; null: the key is deleted.
+    /// Records a write by the key-value store. `value` is the new value as JSON text; null: the key is
+    /// deleted.
     void write(double now, std::string_view key, std::uint64_t revision, const std::string* value);
 
-    /// What is asked of a controller under this path, and the answer, is no behaviour that the records hold.
+    /// Returns whether a request to a controller is excluded from the trace, together with its response.
     static bool is_excluded(const zincdyke::HttpRequest& request);
 
     std::uint64_t messages() const { return messages_; }
-    /// False if anything could not be written.
+    /// Flushes the trace file. Returns false if any write to it failed.
     bool finish();
 
   private:
-    void line(double now, Kind kind, std::string_view from, std::string_view to, std::string_view content,
-              std::string_view shown);
+    void write_line(double now, Kind kind, std::string_view from, std::string_view to,
+                    std::string_view content, std::string_view summary);
+
     std::ofstream out_;
     std::uint64_t messages_ = 0;
 };
--- a/tests/valid_settings.h
+++ b/tests/valid_settings.h
@@ -1,4 +1,4 @@
-/// A settings file that is valid, for tests that change a line of it or need any settings.
+/// A valid settings file. Tests use it as it is, or change single lines.
 #pragma once
 
 namespace zincdyke {
