--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -91,7 +91,7 @@
     if (now >= next_types_read_at_) read_machine_types();
     if (now >= next_list_at_ && !is_reading_list_) {
         next_list_at_ = now + seconds(std::max({min_list_interval_s, calls_per_list / settings_.cloud_rps,
-                                                settings_.list_lag_s / lists_per_lag}));
+                                                settings_.cloud_list_lag_s / lists_per_lag}));
         read_machine_list("", {});
     }
     inventory_.expire(now);
@@ -323,7 +323,7 @@
 // clock had no predecessor.
 bool Autoscaler::is_inventory_complete(SteadyTime now) const {
     const Duration catch_up =
-        seconds(std::min(max_list_catch_up_s, settings_.list_lag_s + list_catch_up_margin_s));
+        seconds(std::min(max_list_catch_up_s, settings_.cloud_list_lag_s + list_catch_up_margin_s));
     return now - active_since_ > catch_up || active_since_ - SteadyTime{} < startup_period;
 }
 
--- a/src/autoscaler/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -88,7 +88,7 @@
 // A machine that has been missing from the list for long is assumed not to exist, so plans ignore it. This
 // does not prove that its tasks have stopped.
 void MachineInventory::remove_unlisted(const std::set<MachineId>& listed, SteadyTime now) {
-    const Duration retention = seconds(settings_.list_lag_s * list_lag_multiple + unlisted_margin_s);
+    const Duration retention = seconds(settings_.cloud_list_lag_s * list_lag_multiple + unlisted_margin_s);
     std::erase_if(machines_, [&](const auto& entry) {
         const auto& [id, machine] = entry;
         return !listed.contains(id) && now - machine.last_listed_at > retention &&
@@ -97,7 +97,7 @@
 }
 
 void MachineInventory::expire(SteadyTime now) {
-    const Duration retention = seconds(settings_.list_lag_s * list_lag_multiple + terminated_margin_s);
+    const Duration retention = seconds(settings_.cloud_list_lag_s * list_lag_multiple + terminated_margin_s);
     std::erase_if(terminated_at_, [&](const auto& entry) { return now - entry.second > retention; });
     std::erase_if(reports_,
                   [&](const auto& entry) { return now - entry.second.received_at > report_retention; });
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -99,7 +99,7 @@
     if (outcome == CloudClient::ProvisionOutcome::no_capacity || outcome == CloudClient::ProvisionOutcome::ok)
         pause_s = policy_.no_capacity_pause_s;
     else if (outcome == CloudClient::ProvisionOutcome::unknown)
-        pause_s = settings_.list_lag_s * unknown_outcome_list_lags + provision_retry_s;
+        pause_s = settings_.cloud_list_lag_s * unknown_outcome_list_lags + provision_retry_s;
     unavailable_until_[kind] = now + seconds(pause_s);
 }
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -148,8 +148,8 @@
         settings.strictest_limits.txn_ops = std::min(settings.store_limits.txn_ops, next.txn_ops);
     }
     settings.cloud_rps = number_at(root, "params.cloud.rps", 0.1, 1e6);
-    settings.list_lag_s = number_at(root, "params.cloud.list_lag_s", 0, 3600);
-    settings.core_share = number_at(root, "params.machine_limits.core_share", 0.001, 1024);
+    settings.cloud_list_lag_s = number_at(root, "params.cloud.list_lag_s", 0, 3600);
+    settings.cpu_cores = number_at(root, "params.machine_limits.core_share", 0.001, 1024);
     settings.memory_mb = number_at(root, "params.machine_limits.memory_mb", 16, 1e7);
     settings.max_sockets = count_at(root, "params.machine_limits.max_sockets", 32, 1e7);
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -43,7 +43,7 @@
 struct Team {
     TeamName name;
     std::int64_t cpu = 0, cpu_max = 0, gpu = 0, gpu_max = 0;
-    bool limited() const { return cpu_max > 0 || gpu_max > 0; }
+    bool has_limit() const { return cpu_max > 0 || gpu_max > 0; }
 };
 /// A service-level objective for the jobs of one class: `target_share` of them should be started (kind
 /// "wait") or finished (kind "finished") within `target_s` seconds.
@@ -66,20 +66,26 @@
     NodeName node;
     std::string zone, api_addr, cluster_listen, cloud_address, store_address;
     std::vector<Seed> seeds;
-    std::uint32_t controller_count = 1;
+    std::uint32_t controller_count = 1;  ///< Number of controllers in the deployment.
     std::vector<std::string> zones;
     double max_clock_skew_ms = 0;
     std::map<TeamName, Team> teams;
     std::vector<Objective> objectives;
-    double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_timeout_s = 0, cancel_s = 0;
-    double store_rps = 0;
-    StoreLimits store_limits;  ///< The limits currently in force.
+    double heartbeat_interval_s = 0;  ///< Interval between the heartbeats of a worker.
+    double lease_s = 0;               ///< Duration of a worker's lease.
+    double gang_wait_s = 0;           ///< Time that a gang's task waits on its worker for the other tasks.
+    double gang_peer_timeout_s = 0;   ///< Time after which a gang's task ends if another one is lost.
+    double cancel_s = 0;              ///< Time within which the tasks of a cancelled job must stop.
+    double store_rps = 0;             ///< Requests per second that the key-value store accepts.
+    StoreLimits store_limits;         ///< The limits currently in force.
     /// The lower of each current limit and its announced successor (`params.state.next`); equal to the
     /// current limits if no successor is announced. All writes respect these limits, because the key-value
     /// store may switch to the announced limits at any time.
     StoreLimits strictest_limits;
-    double cloud_rps = 0, list_lag_s = 0;
-    double core_share = 1, memory_mb = 0;
+    double cloud_rps = 0;         ///< Requests per second that the cloud accepts.
+    double cloud_list_lag_s = 0;  ///< Maximum age of the machine list that the cloud returns.
+    double cpu_cores = 1;         ///< CPU time that this process may use, in cores.
+    double memory_mb = 0;         ///< Memory that this process may use.
     std::uint32_t max_sockets = 1024;
 
     /// Division of `max_sockets` by use. Outgoing connections and peer links come first; `server` is the
--- a/src/cluster/job_roles.cpp
+++ b/src/cluster/job_roles.cpp
@@ -22,7 +22,7 @@
 
 NodeName JobRoles::committer_of(const Job& job) const {
     const Team* team = state_cache_.team_limits(job.spec.team);
-    if (team == nullptr || !team->limited()) return relay_of(job);
+    if (team == nullptr || !team->has_limit()) return relay_of(job);
     // Teams are assigned round-robin, which spreads the write load more evenly than hashing a small number of
     // team names.
     const auto position =
--- a/src/jobs/commit_queue.cpp
+++ b/src/jobs/commit_queue.cpp
@@ -48,7 +48,7 @@
     const Job* job = state_cache_.job(page.job);
     if (job == nullptr || kind != OperationKind::start) return {{}, page};
     const Team* team = state_cache_.team_limits(job->spec.team);
-    if (team == nullptr || !team->limited()) return {{}, page};
+    if (team == nullptr || !team->has_limit()) return {{}, page};
     return {team->name, {}};
 }
 
--- a/src/wire/json_api.h
+++ b/src/wire/json_api.h
@@ -13,8 +13,8 @@
 namespace zincdyke::wire {
 using Json = nlohmann::json;
 
-/// How the tasks of a job belong together: independent tasks (array), tasks that run only at the same time
-/// (gang), or independent tasks that run until the job is cancelled (service).
+/// How the tasks of a job are run: independently (array), only all at the same time (gang), or independently
+/// until the job is cancelled (service).
 enum class Shape : std::uint8_t { array, gang, service };
 /// The priority of a job; lower values have precedence.
 enum class Rank : std::uint8_t { critical = 0, high = 1, standard = 2, best_effort = 3 };
@@ -34,8 +34,12 @@
     double image_gb = 0;
     std::optional<std::vector<std::string>> types;  ///< The permitted machine types; nullopt permits all.
     std::optional<std::string> zone;
-    bool one_zone = false, spread = false, spot = false;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    bool one_zone = false;  ///< Whether all tasks must be placed in the same zone.
+    bool spread = false;  ///< Whether the tasks must be spread over zones, at most half of them in one zone.
+    bool spot = false;    ///< Whether the tasks may be placed on spot machines.
+    double estimate_s = 0;  ///< The user's estimate of a task's run time; 0 for services without an estimate.
+    double checkpoint_s = 0;  ///< Interval between a task's checkpoints; 0 if it saves none.
+    double save_s = 0;        ///< Time that a task needs to save its progress before it is stopped.
     std::optional<double> deadline_s;
     bool is_service() const { return shape == Shape::service; }
 };
@@ -136,10 +140,12 @@
     Attempt attempt = 0;
     double grace_s = 0;  ///< For `stop`: the time that the task has to save its progress.
 };
-/// Returns the JSON body with commands to a worker. The agent epoch is omitted if it is not given.
+/// Returns the JSON body with commands to a worker. The field with the agent epoch is omitted if
+/// `agent_epoch` is empty.
 std::string encode_commands(FencingToken token, const std::vector<Command>& commands,
                             std::optional<std::uint64_t> agent_epoch = {});
-/// Returns the JSON body that directs a worker to its machine's leader; an empty object if there is none.
+/// Returns the JSON body that redirects a worker to the leader of its machine's shard; an empty JSON object
+/// if no leader is known.
 std::string encode_redirect(const std::optional<NodeName>& leader);
 
 /// A machine type that the cloud offers. Prices are per hour.
@@ -169,11 +175,12 @@
 /// One page of the cloud's list of machines.
 struct MachinePage {
     std::vector<ListedMachine> machines;
-    bool has_more = false;  ///< Whether further pages follow.
+    bool has_more = false;  ///< Whether the list continues on another page.
 };
 /// Parses a page of the cloud's list of machines; nullopt if it is malformed.
 std::optional<MachinePage> parse_machine_page(std::string_view body);
-/// Returns the JSON body of a request to the cloud for `count` new machines. `request` is the request's id.
+/// Returns the JSON body of a request to the cloud for `count` new machines. `request` is its idempotency
+/// key.
 std::string provision_request_body(const std::string& request, const std::string& type,
                                    const std::string& zone, bool spot, std::uint32_t count);
 /// Returns the JSON body of a request to the cloud to terminate machines.
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -34,10 +34,13 @@
 struct MachineStatus {
     MachineId id;
     std::string type, zone, address;
-    bool spot = false, usable = false, silent = false;
+    bool spot = false;
+    bool usable = false;  ///< Whether tasks may be placed on the machine.
+    bool silent = false;  ///< Whether the machine has been unreachable for longer than a lease.
     std::uint64_t agent_epoch = 0;
-    std::uint32_t busy_tasks = 0;  ///< Tasks that are assigned to the machine, offered it or reported by it.
-    std::uint32_t idle_ms = 0, silent_ms = 0;
+    std::uint32_t busy_tasks = 0;  ///< Number of assigned tasks; at least 1 unless the machine is idle.
+    std::uint32_t idle_ms = 0;     ///< Time for which the machine has been idle.
+    std::uint32_t silent_ms = 0;   ///< Time for which the machine has been unreachable.
 };
 /// Acknowledges which job cancellations the sender knows, and so advances the receiver's cancellation
 /// watermark (cluster/cancellation_watermark). Each timestamp is a reading, in microseconds, of the steady
@@ -47,8 +50,7 @@
     std::uint64_t sent_timestamp = 0;  ///< Time at which the sender sent this acknowledgement.
     /// The latest timestamp that the sender received from the receiver, and the epoch it came with.
     std::uint64_t echoed_epoch = 0, echoed_timestamp = 0;
-    /// Whether the sender's watermark is lagging, so that the receiver should list the cancellations it
-    /// knows.
+    /// Whether the sender's watermark lags; the receiver then lists the cancellations that it knows.
     bool is_lagging = false;
     /// Whether `cancelled` lists all unfinished jobs that the sender knows to be cancelled.
     bool is_complete = false;
@@ -59,8 +61,8 @@
     CancellationAck cancellation_ack;
     bool store_reachable = false;
     std::uint64_t applied_revision = 0;  ///< Revision of the key-value store up to which the sender has read.
-    std::uint32_t write_demand =
-        0;  ///< The sender's demand for writes to the store, relative to other controllers.
+    /// The smoothed number of pages that the sender has to write per heartbeat interval, in hundredths.
+    std::uint32_t write_demand = 0;
     std::vector<MachineStatus> machines;
 };
 /// Sent by the relay to every scorer: asks for machines for tasks of a job.
@@ -133,8 +135,8 @@
 /// Sent by the autoscaler to the machines' leaders: replaces all earlier reservations. A long list is split
 /// over several messages.
 struct ReservationUpdate {
-    bool is_first =
-        true;  ///< Whether this is the first message of the list, which ends earlier reservations.
+    /// Whether this is the first message of the list. The receiver then discards all earlier reservations.
+    bool is_first = true;
     std::vector<ReservedMachine> machines;
 };
 /// Sent by the autoscaler to a machine's leader: preempt the task for work of higher rank. The task gets time
@@ -144,7 +146,7 @@
     TaskIndex task = 0;
     Attempt attempt = 0;
 };
-/// A machine in the cloud's list and the address of its worker.
+/// A machine in the cloud's list with the address of its worker.
 struct DiscoveredMachine {
     MachineId id;
     std::string address;
@@ -157,7 +159,7 @@
 };
 /// A start or end of a task that is to be committed to the key-value store.
 struct TaskOperation {
-    std::uint8_t event = 0;
+    std::uint8_t event = 0;  ///< The operation's kind: a value of OperationKind (jobs/pending_operation.h).
     TaskIndex task = 0;
     Attempt attempt = 0;
     MachineId machine;
