--- a/src/autoscaler/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -89,7 +89,7 @@
 // Plans do not use removed machines, because a machine that is missing from the cloud's list for long
 // probably does not exist. Its absence from the list does not prove that its tasks have stopped.
 void MachineInventory::remove_unlisted_machines(const std::set<MachineId>& listed, SteadyTime now) {
-    const Duration retention = seconds(settings_.list_lag_s * list_lag_multiple + unlisted_margin_s);
+    const Duration retention = seconds(settings_.cloud_list_lag_s * list_lag_multiple + unlisted_margin_s);
     std::erase_if(machines_, [&](const auto& entry) {
         const auto& [id, machine] = entry;
         return !listed.contains(id) && now - machine.last_listed_at > retention &&
@@ -98,7 +98,7 @@
 }
 
 void MachineInventory::remove_expired_records(SteadyTime now) {
-    const Duration retention = seconds(settings_.list_lag_s * list_lag_multiple + terminated_margin_s);
+    const Duration retention = seconds(settings_.cloud_list_lag_s * list_lag_multiple + terminated_margin_s);
     std::erase_if(terminated_at_, [&](const auto& entry) { return now - entry.second > retention; });
     std::erase_if(reports_,
                   [&](const auto& entry) { return now - entry.second.received_at > report_retention; });
