--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -22,9 +22,9 @@
 
 Json commit_counts(const TaskCommitter& committer) {
     const auto& counts = committer.counts();
-    return {{"commits", counts.sent_transactions},     {"pages", counts.written_pages},
-            {"starts", counts.committed_starts},       {"ends", counts.committed_ends},
-            {"conflicts", counts.conflicts},           {"forwarded", counts.forwarded_operations},
+    return {{"commits", counts.sent_transactions},       {"pages", counts.written_pages},
+            {"starts", counts.committed_starts},         {"ends", counts.committed_ends},
+            {"conflicts", counts.transaction_conflicts}, {"forwarded", counts.forwarded_operations},
             {"reclaimed", counts.reclaimed_operations}};
 }
 
@@ -32,12 +32,12 @@
     const auto& counts = store.counts();
     // `order` names the entries of the two lists, by their priority.
     return {{"order", {"lease", "report", "decision", "user"}},
-            {"requests", counts.requests},
-            {"writes", counts.writes},
-            {"watches", counts.watches},
-            {"watch_bytes", counts.watch_bytes},
-            {"rate_limited", counts.rate_limited},
-            {"load_shed", counts.load_shed}};
+            {"requests", counts.sent_requests},
+            {"writes", counts.sent_writes},
+            {"watches", counts.watch_requests},
+            {"watch_bytes", counts.watch_response_bytes},
+            {"rate_limited", counts.rate_limited_requests},
+            {"load_shed", counts.unsent_requests}};
 }
 
 Json worker_counts(const WorkerManager& workers) {
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -67,7 +67,7 @@
 std::vector<const Job*> waiting_jobs(const StateCache& state_cache) {
     std::vector<const Job*> jobs;
     for (const auto& [id, job] : state_cache.jobs())
-        if (!job.cancelled && job.pending() > 0) jobs.push_back(&job);
+        if (!job.cancelled && job.pending_tasks() > 0) jobs.push_back(&job);
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         if (a->spec.rank != b->spec.rank) return a->spec.rank < b->spec.rank;
         return a->submitted < b->submitted;
@@ -78,7 +78,7 @@
 // Adds a job's pending tasks to the team's usage as far as its quota allows, and returns how many were added.
 std::int64_t take_team_quota(const Team& team, QuotaUsage& usage, const Job& job) {
     const Resources& need = job.spec.need;
-    auto tasks = static_cast<std::int64_t>(job.pending());
+    auto tasks = static_cast<std::int64_t>(job.pending_tasks());
     if (team.cpu_max > 0 && need.cpu > 0) tasks = std::min(tasks, (team.cpu_max - usage.cpu) / need.cpu);
     if (team.gpu_max > 0 && need.gpu > 0) tasks = std::min(tasks, (team.gpu_max - usage.gpu) / need.gpu);
     if (tasks <= 0) return 0;
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -64,7 +64,8 @@
 std::vector<const Job*> GangReservations::overdue_gangs(WallTime now) const {
     std::vector<const Job*> overdue;
     for (const auto& [id, job] : state_cache_.jobs()) {
-        if (job.spec.shape != wire::Shape::gang || job.cancelled || job.pending() != job.spec.tasks) continue;
+        if (job.spec.shape != wire::Shape::gang || job.cancelled || job.pending_tasks() != job.spec.tasks)
+            continue;
         const bool waited_long =
             static_cast<double>(now.value() - job.submitted.value()) > reservation_delay_s * 1000;
         if (waited_long && state_cache_.fits_team_quota(job.spec.team, job.spec.need, job.spec.tasks))
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -10,7 +10,7 @@
 
 CloudClient::CloudClient(Env& env, const Settings& settings) : env_(env), settings_(settings) {
     // The client leaves a margin below the cloud's request rate limit.
-    rate_limit_.set_rate(std::max(0.1, settings.cloud_rps * 0.9));
+    rate_limit_.set_refill_rate(std::max(0.1, settings.cloud_rps * 0.9));
 }
 
 void CloudClient::enqueue(HttpRequest request, Reply done) {
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -43,9 +43,9 @@
       locks_(env, store, state_cache, cluster, settings.node,
              [this](const TeamName& team) { queue_.schedule_team_starts(team); }) {}
 
-// Returns whether the queue's operations may be committed now: starts of a team with a quota limit need the
-// team lock. While this node does not hold the lock, it tries to acquire it, and the starts stay queued until
-// they expire.
+// Returns whether the operations of a commit queue may be committed now. Task starts of a team with a quota
+// limit need the team lock. While this node does not hold the lock, it tries to acquire it, and the starts
+// stay queued until they expire.
 bool CommitExecutor::ensure_team_lock(const CommitQueueKey& key) {
     if (!key.is_team_queue() || locks_.fencing_token(key.team)) return true;
     for (auto& [job, operation] : queue_.remove_expired_starts(key))
@@ -61,7 +61,7 @@
     context.now = env_.now();
     context.max_writes = max_writes;
     context.store_rejected_value = store_.has_rejected_value();
-    if (key.is_team_queue()) context.lock = TeamLockToken{key.team, *locks_.fencing_token(key.team)};
+    if (key.is_team_queue()) context.team_lock = TeamLockToken{key.team, *locks_.fencing_token(key.team)};
     context.own_leader_term = [this](std::uint32_t shard) { return cluster_.term(shard); };
     return queue_.build_transaction(key, TransactionBuilder(state_cache_, settings_, std::move(context)));
 }
@@ -84,7 +84,7 @@
     if (!ensure_team_lock(key)) return;
     auto built = std::make_shared<BuiltTransaction>(build_transaction(key, max_writes));
     handle_notices(built->notices);
-    if (built->operations.empty()) return queue_.resume(key);
+    if (built->operations.empty()) return queue_.reschedule_or_remove(key);
     queue_.begin_transaction(key, built->operations);
     ++counts_.sent_transactions;
     store_.commit(built->transaction, built->has_ends ? RequestPriority::report : RequestPriority::decision,
@@ -111,7 +111,7 @@
             observer_.on_operation_finished(page.job, operation, true);
         }
     observer_.on_transaction_committed(built.transaction, revision);
-    queue_.resume(key);
+    queue_.reschedule_or_remove(key);
 }
 
 // Requeues the operations of a transaction that failed or had an unknown outcome. The next transaction has
@@ -120,9 +120,10 @@
 // the old starts after the team's quota usage was computed without them.
 void CommitExecutor::on_not_committed(const CommitQueueKey& key, BuiltTransaction& built,
                                       const CommitResult& result) {
-    if (result.outcome == Outcome::conflict) ++counts_.conflicts;
+    if (result.outcome == Outcome::conflict) ++counts_.transaction_conflicts;
     if (result.outcome == Outcome::unknown && key.is_team_queue()) locks_.invalidate(key.team);
-    // The store rejects an invalid transaction again unless its pages become smaller, which takes some time.
+    // The store rejects an invalid transaction again until the job has switched to smaller pages, which takes
+    // some time.
     const Duration delay =
         result.outcome == Outcome::invalid_request ? invalid_request_retry_delay : commit_retry_delay;
     requeue_operations(built, result, delay);
@@ -136,8 +137,8 @@
     reread_records(key, has_failed_keys ? result.failed_keys : condition_keys(built.transaction));
 }
 
-// Returns operations to their queues. Ends that shared a transaction with a team's starts return to the queue
-// of their page, which needs no team lock.
+// Returns the operations of a failed transaction to their commit queues. Task ends that shared a transaction
+// with a team's starts return to the queue of their page, which needs no team lock.
 void CommitExecutor::requeue_operations(BuiltTransaction& built, const CommitResult& result, Duration delay) {
     const std::set<std::string> failed_keys(result.failed_keys.begin(), result.failed_keys.end());
     for (auto& [page, operations] : built.operations)
@@ -146,7 +147,7 @@
                 failed_keys.contains(keys::shard(state_cache_.shard_of(operation.machine)));
             // An operation is not retried if the leader that forwarded it no longer leads the shard: the new
             // leader decides about the task again.
-            if (operation.forwarded && is_term_over)
+            if (operation.forwarded_request && is_term_over)
                 observer_.on_operation_finished(page.job, operation, false);
             else
                 queue_.requeue(page.job, std::move(operation), delay);
@@ -163,7 +164,7 @@
                    [this, key, record_key, remaining_reads](const GetResult& result) {
                        // Shard records are applied only by the watch, because a new term must not be used
                        // before all earlier changes are in the state cache.
-                       const bool is_shard = keys::parse(record_key).kind == keys::Kind::shard;
+                       const bool is_shard = keys::parse(record_key).kind == keys::RecordKind::shard;
                        if (!is_shard && result.outcome == Outcome::ok)
                            state_cache_.apply({record_key, result.value, result.version});
                        if (!is_shard && result.outcome == Outcome::not_found &&
--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -36,18 +36,18 @@
 /// failed transactions. The executor must outlive the timers and store requests that it starts.
 class CommitExecutor {
   public:
-    /// Totals of sent transactions and their results since the process started.
+    /// Totals of the commit transactions that this node sent since the process started, and of their results.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
-                      conflicts = 0;
+                      transaction_conflicts = 0;
     };
 
     /// Keeps all reference arguments; they must outlive the executor.
     CommitExecutor(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                    ClusterCoordinator& cluster, CommitQueue& queue, JobRecordWriter& record_writer,
                    CommitObserver& observer);
-    /// Builds and sends the next transaction of a commit queue, with about `max_writes` writes at most. Sends
-    /// nothing if no operation of the queue can be committed now.
+    /// Builds and sends the next transaction of a commit queue. It may exceed `max_writes` writes by those of
+    /// its last page. Sends nothing if no operation of the queue can be committed now.
     void commit_next(const CommitQueueKey& key, std::size_t max_writes);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -21,11 +21,12 @@
 
 void CommitForwarder::start() { reclaim_operations(); }
 
-// Sending an operation twice is safe: the committer checks each copy against the current term and attempt.
+// Sending an operation to its committer twice is safe: the committer checks each copy against the current
+// leader's term and the task's current attempt.
 void CommitForwarder::forward(const NodeName& committer, const JobId& job, PendingOperation operation) {
     const std::uint64_t request_id = ++last_request_id_;
-    unanswered_.emplace(request_id, ForwardedOperation{job, std::move(operation), committer,
-                                                       current_session(committer), env_.now()});
+    unanswered_operations_.emplace(request_id, ForwardedOperation{job, std::move(operation), committer,
+                                                                  current_session(committer), env_.now()});
     ++counts_.forwarded_operations;
     outbox_[{committer, job}].push_back(request_id);
     if (!std::exchange(is_send_scheduled_, true)) env_.after(outbox_delay, [this] { send_outbox(); });
@@ -36,8 +37,8 @@
     for (const auto& [destination, request_ids] : std::exchange(outbox_, {})) {
         wire::CommitRequest request{destination.job, {}};
         for (const std::uint64_t request_id : request_ids) {
-            const auto found = unanswered_.find(request_id);
-            if (found == unanswered_.end()) continue;
+            const auto found = unanswered_operations_.find(request_id);
+            if (found == unanswered_operations_.end()) continue;
             const PendingOperation& operation = found->second.operation;
             request.operations.push_back({static_cast<std::uint8_t>(operation.kind), operation.task,
                                           operation.attempt, operation.machine, operation.zone,
@@ -49,15 +50,15 @@
     }
 }
 
-std::vector<CommitForwarder::AnsweredOperation> CommitForwarder::take_answered(
+std::vector<CommitForwarder::AnsweredOperation> CommitForwarder::take_answered_operations(
     const wire::CommitResponse& response) {
     std::vector<AnsweredOperation> answered;
     for (const auto& result : response.results) {
-        const auto found = unanswered_.find(result.request_id);
-        if (found == unanswered_.end()) continue;
+        const auto found = unanswered_operations_.find(result.request_id);
+        if (found == unanswered_operations_.end()) continue;
         answered.push_back(
             {std::move(found->second.job), std::move(found->second.operation), result.is_committed});
-        unanswered_.erase(found);
+        unanswered_operations_.erase(found);
     }
     return answered;
 }
@@ -81,7 +82,7 @@
 // it is still batching would cause extra writes.
 void CommitForwarder::reclaim_operations() {
     env_.after(reclaim_interval, [this] { reclaim_operations(); });
-    for (auto it = unanswered_.begin(); it != unanswered_.end();) {
+    for (auto it = unanswered_operations_.begin(); it != unanswered_operations_.end();) {
         ForwardedOperation& forwarded = it->second;
         if (!should_reclaim(forwarded)) {
             ++it;
@@ -89,7 +90,7 @@
         }
         ++counts_.reclaimed_operations;
         on_reclaimed_(forwarded.job, std::move(forwarded.operation));
-        it = unanswered_.erase(it);
+        it = unanswered_operations_.erase(it);
     }
 }
 
--- a/src/jobs/commit_forwarder.h
+++ b/src/jobs/commit_forwarder.h
@@ -39,9 +39,10 @@
     /// Queues an operation for `committer`. Operations for the same committer and job are sent in one message
     /// after a delay of a few milliseconds.
     void forward(const NodeName& committer, const JobId& job, PendingOperation operation);
-    /// Removes and returns the operations that a response answers. Results for operations that were already
-    /// answered or reclaimed are ignored.
-    [[nodiscard]] std::vector<AnsweredOperation> take_answered(const wire::CommitResponse& response);
+    /// Removes the operations whose results a committer's response contains, and returns them with these
+    /// results. Ignores results of operations that were already removed or reclaimed.
+    [[nodiscard]] std::vector<AnsweredOperation> take_answered_operations(
+        const wire::CommitResponse& response);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
   private:
@@ -49,7 +50,8 @@
         JobId job;
         PendingOperation operation;
         NodeName committer;
-        Revision committer_session;  // the committer's session when the operation was forwarded
+        // Version of the committer's node record when the operation was forwarded. A new session changes it.
+        Revision committer_session;
         SteadyTime sent_at;
     };
     struct Destination {
@@ -66,7 +68,7 @@
     const StateCache& state_cache_;
     PeerChannel& peers_;
     const ReclaimCallback on_reclaimed_;
-    std::map<std::uint64_t, ForwardedOperation> unanswered_;  // forwarded operations by request id
+    std::map<std::uint64_t, ForwardedOperation> unanswered_operations_;  // operations by request id
     std::map<Destination, std::vector<std::uint64_t>> outbox_;
     bool is_send_scheduled_ = false;
     std::uint64_t last_request_id_ = 0;
--- a/src/jobs/commit_queue.cpp
+++ b/src/jobs/commit_queue.cpp
@@ -10,17 +10,18 @@
 namespace {
 constexpr Duration release_batching_delay = std::chrono::milliseconds(40);
 constexpr Duration min_completion_batching_delay = std::chrono::milliseconds(250);
-// Teams near their quota limit have a shorter maximum delay, since they need the quota of completed tasks for
-// their next starts.
+// Task completions of a team near its quota limit have a shorter maximum batching delay, since the team can
+// start its next tasks only after the completions are committed.
 constexpr Duration max_completion_batching_delay_near_quota = std::chrono::seconds(2);
 constexpr double near_quota_share = 0.9;
-// The batching delay of task completions grows linearly while the used share of the write budget is between
-// these values. A longer delay reduces the number of writes per completion.
+// The batching delay of task completions grows linearly from its minimum to its maximum while the used share
+// of the write budget is between these two values. A longer delay reduces the number of writes per
+// completion.
 constexpr double low_write_load = 0.5, high_write_load = 0.9;
 constexpr Duration unreachable_store_retry_interval = std::chrono::milliseconds(300);
 constexpr Duration min_write_budget_wait = std::chrono::milliseconds(5);
 constexpr Duration max_write_budget_wait = std::chrono::milliseconds(200);
-// The number of available writes to wait for when the write budget is used up.
+// After the write budget is used up, the next transaction waits until this many writes are available.
 constexpr std::size_t min_available_writes = 2;
 
 bool is_near_limit(std::int64_t used, std::int64_t limit) {
@@ -77,7 +78,7 @@
     const Job* job = state_cache_.job(page.job);
     if (operation.kind == OperationKind::release || job == nullptr) return release_batching_delay;
     const auto stored_page = job->pages.find(page.page);
-    const std::size_t done_count = stored_page != job->pages.end() ? stored_page->second.done : 0;
+    const std::size_t done_count = stored_page != job->pages.end() ? stored_page->second.done_tasks : 0;
     if (done_count + queued_count + 1 >= state_cache_.task_count_in_page(*job, page.page))
         return release_batching_delay;
     return completion_batching_delay(*job);
@@ -169,8 +170,8 @@
     }
 }
 
-// Returns the page of the most urgent job rank; among equal ranks, the page whose first operation has waited
-// longest, so that no job starves while there is a backlog.
+// Returns the queue's page whose job has the most urgent rank. Among equal ranks, returns the page whose
+// first operation has waited longest, so that no job starves while there is a backlog.
 CommitQueue::OperationsByPage::iterator CommitQueue::most_urgent_page(Queue& queue) const {
     const auto urgency = [&](const auto& entry) {
         const Job* job = state_cache_.job(entry.first.job);
@@ -229,7 +230,7 @@
     for (const auto& entry : pages) pages_in_flight_.erase(entry.page);
 }
 
-void CommitQueue::resume(const CommitQueueKey& key) {
+void CommitQueue::reschedule_or_remove(const CommitQueueKey& key) {
     const Queue& queue = queues_[key];
     if (queue.pages.empty()) {
         queues_.erase(key);
--- a/src/jobs/commit_queue.h
+++ b/src/jobs/commit_queue.h
@@ -15,14 +15,15 @@
 
 namespace zincdyke {
 
-/// A set of queues of operations, each grouped by page. Queues are processed in the order of their scheduled
-/// times, one transaction per queue at a time. Transactions are built only when the write budget allows them
-/// to be sent; until then operations accumulate in their pages and share a write. The object must outlive the
-/// timers that it starts.
+/// Holds all commit queues of this node. Queues are processed in the order of their scheduled times, one
+/// transaction per queue at a time. A transaction is built only when the write budget allows sending it;
+/// until then, queued operations are grouped by page, so that the operations of a page share one write. The
+/// object must outlive the timers that it starts.
 class CommitQueue {
   public:
-    /// Called on the event-loop thread when a queue is due and the write budget allows its transaction: the
-    /// callee may build and send one transaction with about `max_writes` writes at most.
+    /// Called on the event-loop thread when a queue's scheduled time has come and the write budget allows its
+    /// transaction. The callee may send one transaction, which may exceed `max_writes` writes by those of its
+    /// last page.
     using QueueDueCallback = std::function<void(const CommitQueueKey& key, std::size_t max_writes)>;
     /// An operation that was removed from its queue, with its job.
     struct RemovedOperation {
@@ -34,21 +35,22 @@
     /// budget.
     CommitQueue(Env& env, StoreClient& store, const StateCache& state_cache, QueueDueCallback on_queue_due);
 
-    /// Adds a new operation. The operation's kind and the write budget determine how long it may wait for
-    /// other operations of its page.
+    /// Adds a new task start or end. The write budget and whether it is a start, completion or release
+    /// determine how long it may wait for other operations of its page.
     void add(const JobId& job, PendingOperation operation);
     /// Returns an operation of a failed transaction to the queue, to be retried after `delay` at the latest.
     /// The page is computed again, since the job's page size may have changed.
     void requeue(const JobId& job, PendingOperation operation, Duration delay);
-    /// Assigns a job's queued operations to its new, smaller pages.
+    /// Regroups a job's queued operations by page after the job has switched to smaller pages.
     void on_pages_resized(const JobId& id);
 
     /// Schedules the queue's next transaction after `delay` at the latest; an earlier scheduled time is kept.
     void schedule(const CommitQueueKey& key, Duration delay);
-    /// Schedules the queued starts of a limited team immediately; called when its team lock may be usable.
+    /// Schedules the queued task starts of a team with a quota limit immediately. Call it when this node may
+    /// hold the team lock.
     void schedule_team_starts(const TeamName& team);
-    /// Removes and returns starts that were queued for longer than `start_commit_timeout`, and removes the
-    /// queue itself if it becomes empty.
+    /// Removes and returns a queue's task starts that were queued for longer than `start_commit_timeout`.
+    /// Removes the queue if it becomes empty.
     [[nodiscard]] std::vector<RemovedOperation> remove_expired_starts(const CommitQueueKey& key);
     [[nodiscard]] bool contains(const CommitQueueKey& key) const { return queues_.contains(key); }
 
@@ -63,7 +65,7 @@
     void end_transaction(const CommitQueueKey& key, const std::vector<PageOperations>& pages);
     /// Schedules the operations that are left in the queue after a transaction, or removes the queue if it is
     /// empty.
-    void resume(const CommitQueueKey& key);
+    void reschedule_or_remove(const CommitQueueKey& key);
 
     /// Returns the number of pages with queued operations; a page in two queues counts twice.
     [[nodiscard]] std::size_t queued_page_count() const;
@@ -92,7 +94,7 @@
     const QueueDueCallback on_queue_due_;
     std::map<CommitQueueKey, Queue> queues_;
     std::set<PageKey> pages_in_flight_;
-    Env::TimerId timer_ = 0;  // the pending timer; 0 if none is set
+    Env::TimerId timer_ = 0;  // id of the timer for the next scheduled queue; 0 if no timer is set
     SteadyTime timer_expiry_{};
 };
 
--- a/src/jobs/commit_responder.h
+++ b/src/jobs/commit_responder.h
@@ -11,14 +11,15 @@
 
 namespace zincdyke {
 
-/// Collects results and sends them in one message per leader: together with the written records after a
-/// commit, or otherwise in the next iteration of the event loop. The responder must outlive the timers that
-/// it starts.
+/// Collects the results of forwarded operations and sends them in one message per shard leader. After a
+/// commit, the message also contains the records that the commit wrote; otherwise the results are sent in the
+/// next iteration of the event loop. The responder must outlive the timers that it starts.
 class CommitResponder {
   public:
     /// Keeps both references; they must outlive the responder.
     CommitResponder(Env& env, PeerChannel& peers) : env_(env), peers_(peers) {}
-    /// Stores a result and schedules sending it, unless send_with_records() sends it first.
+    /// Stores the result of a forwarded operation. It is sent in the next iteration of the event loop, unless
+    /// send_with_records() sends it first.
     void add_result(const ForwardedRequest& request, bool is_committed);
     /// Sends all stored results, with the records that `transaction` wrote at `revision`.
     void send_with_records(const Transaction& transaction, Revision revision);
--- a/src/jobs/committed_records.cpp
+++ b/src/jobs/committed_records.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr std::size_t max_message_record_bytes = 60'000;  // keeps messages below the peer frame limit
 
-bool is_job(const std::string& key) { return keys::parse(key).kind == keys::Kind::job; }
+bool is_job(const std::string& key) { return keys::parse(key).kind == keys::RecordKind::job; }
 
 void apply_stored_record(StateCache& state_cache, const wire::StoredRecord& record) {
     const JobId page_job = keys::job_of_page(record.key);
--- a/src/jobs/guarantees.cpp
+++ b/src/jobs/guarantees.cpp
@@ -21,7 +21,7 @@
         });
         std::int64_t required_cpu = 0, required_gpu = 0;
         for (const Job* job : jobs) {
-            const auto unfinished_tasks = static_cast<std::int64_t>(job->spec.tasks - job->done);
+            const auto unfinished_tasks = static_cast<std::int64_t>(job->spec.tasks - job->done_tasks);
             required_cpu += job->spec.need.cpu * unfinished_tasks;
             required_gpu += job->spec.need.gpu * unfinished_tasks;
             if ((team.cpu > 0 && required_cpu > team.cpu) || (team.gpu > 0 && required_gpu > team.gpu)) break;
--- a/src/jobs/job_record_writer.cpp
+++ b/src/jobs/job_record_writer.cpp
@@ -52,7 +52,8 @@
     transaction.conditions.push_back({keys::job(id), job->version});
     transaction.writes.push_back({keys::job(id), state_cache_.encode_job(resized), std::nullopt});
     store_.commit(transaction, RequestPriority::report, [this, id, transaction](const CommitResult& result) {
-        // The operations that need smaller pages stay queued and request the change again after a failure.
+        // A failed change of the page size is not retried here: the operations that need smaller pages stay
+        // queued and request the change again.
         const bool is_committed = result.outcome == Outcome::ok;
         env_.after(is_committed ? Duration(0) : resize_retry_delay, [this, id] { resizing_jobs_.erase(id); });
         if (!is_committed) return;
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -10,9 +10,9 @@
 
 namespace zincdyke {
 
-/// Writes job records, at most one write of each kind per job at a time. Failed writes are not retried: the
-/// callers repeat the call while the write is still needed. The writer must outlive the timers and store
-/// requests that it starts.
+/// Writes job records. Ignores a call while the same write of the same job is in progress. Failed writes are
+/// not retried: the callers repeat the call while the write is still needed. The writer must outlive the
+/// timers and store requests that it starts.
 class JobRecordWriter {
   public:
     /// Keeps all reference arguments; they must outlive the writer.
--- a/src/jobs/job_routes.cpp
+++ b/src/jobs/job_routes.cpp
@@ -13,7 +13,8 @@
     JobAction action;
 };
 constexpr std::string_view id_placeholder = "{id}";
-// Only the first pattern that matches a path is considered, even if its method differs from the request's.
+// Only the first route whose pattern matches the path is considered, even if the route's method differs from
+// the request's.
 constexpr Route routes[] = {
     {"POST", "/api/jobs", JobAction::submit},
     {"POST", "/api/jobs/{id}/cancel", JobAction::cancel},
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -78,8 +78,8 @@
 
 void JobsApi::look_up(const JobId& id, const LookupCallback& callback) {
     if (const FinalState* state = final_states_.find(id); state != nullptr) return callback(*state);
-    // One commit deletes a finished job's record and writes its final record. Reading the final record second
-    // therefore never misses a job.
+    // One commit deletes a finished job's record and writes its final record. Reading the job record first
+    // and the final record second therefore never misses a job.
     store_.get(keys::job(id), RequestPriority::user, [this, id, callback](const GetResult& record) {
         if (record.outcome == Outcome::not_found) return look_up_final_state(id, callback);
         if (record.outcome != Outcome::ok) return callback(LookupFailed{});
@@ -102,9 +102,10 @@
     });
 }
 
-// Waits for a store read that was sent after the request arrived, which one read does for many requests. The
-// cache then is at least as new as any response that any controller has sent about the job. A job that is not
-// in the cache has ended or was never accepted; its final record decides which.
+// Waits until a read that was sent to the store after the user's request arrived has updated the state cache;
+// many requests share one read. The cache then is at least as new as any response that any controller has
+// sent about the job. A job that is not in the cache has ended, if it has a final record, or was never
+// accepted.
 void JobsApi::get(const JobId& id, const Reply& reply) {
     cluster_.await_fresh_state([this, id, reply](bool is_fresh) {
         if (!is_fresh) return reply(try_later_response());
@@ -128,7 +129,8 @@
 HttpResponse JobsApi::unfinished_job_response(const JobId& id, bool is_cancelled) const {
     if (is_cancelled) return HttpResponse::ok(wire::job_answer(id, wire::Phase::cancelled));
     const Job* job = state_cache_.job(id);
-    const std::int64_t running = job != nullptr ? job->placed : 0, done = job != nullptr ? job->done : 0;
+    const std::int64_t running = job != nullptr ? job->placed_tasks : 0,
+                       done = job != nullptr ? job->done_tasks : 0;
     const wire::Phase phase = running > 0 ? wire::Phase::running : wire::Phase::queued;
     return HttpResponse::ok(wire::job_answer(id, phase, done, running));
 }
@@ -262,7 +264,8 @@
                     peers_.send(seed.node, wire::JobCancelledNotification{id});
                 return reply(HttpResponse::ok(wire::job_answer(id, wire::Phase::cancelled)));
             }
-            // The job may have finished, or the outcome is unknown: the retry reads the job's state again.
+            // The cancellation may have failed because the job finished, or its outcome is unknown. The retry
+            // reads the job's state again.
             if (!may_retry(deadline)) return reply(try_later_response());
             env_.after(result.outcome == Outcome::conflict ? conflict_retry_delay : commit_retry_delay,
                        [this, cancellation] { cancel(cancellation); });
--- a/src/jobs/jobs_api.h
+++ b/src/jobs/jobs_api.h
@@ -28,7 +28,8 @@
     /// Handles a request below /api/jobs; `reply` is called during this call or later from the event loop.
     /// Returns false, without calling `reply`, for any other path.
     [[nodiscard]] bool handle(const HttpRequest& request, const Reply& reply);
-    /// Returns whether submissions can be validated: the state is loaded, and the machine types are known.
+    /// Returns whether submissions can be validated, which requires that the state cache is loaded and
+    /// contains the cloud's machine types.
     [[nodiscard]] bool ready() const;
 
   private:
--- a/src/jobs/operation_rules.cpp
+++ b/src/jobs/operation_rules.cpp
@@ -29,8 +29,8 @@
            (team.gpu_max > 0 && team_usage.gpu + need.gpu > team.gpu_max);
 }
 
-// Returns whether a job that is spread over zones may place another task of the page in the zone. After a
-// switch to small pages, this requires the final contents of the frozen pages in the state cache.
+// Returns whether a job that is spread over zones may place another task of the page in the zone. Returns
+// false for a job with small pages until the state cache contains the final contents of its frozen pages.
 bool is_zone_available(const StateCache& state_cache, const Job& job,
                        const std::vector<TaskState>& page_tasks, std::uint32_t page,
                        const std::string& zone) {
--- a/src/jobs/pending_operation.cpp
+++ b/src/jobs/pending_operation.cpp
@@ -78,7 +78,7 @@
 }
 
 std::string_view log_reason(const PendingOperation& operation) {
-    if (operation.forwarded) return "forwarded";
+    if (operation.forwarded_request) return "forwarded";
     switch (operation.kind) {
         case OperationKind::start:
             return "";
--- a/src/jobs/pending_operation.h
+++ b/src/jobs/pending_operation.h
@@ -13,13 +13,14 @@
 
 namespace zincdyke {
 
-/// The kinds of changes that are committed to a task. The values are those of `wire::TaskOperation::event`.
+/// The kinds of changes to a task's state that are committed to the key-value store. The values are those of
+/// `wire::TaskOperation::event`.
 enum class OperationKind : std::uint8_t {
     start,       ///< places a pending task on a machine
     completion,  ///< marks a task as done after its attempt succeeded
     release      ///< makes a task pending again after an attempt that did not complete it
 };
-/// Converts an event number of a peer message; returns nothing for an unknown number.
+/// Returns the operation kind for the `event` number in a peer message, or nothing if the number is unknown.
 [[nodiscard]] std::optional<OperationKind> operation_kind(std::uint8_t event);
 
 /// The reasons why a task's attempt is released. The values up to `unknown` correspond to the exit causes
@@ -40,7 +41,7 @@
     machine_terminated,      ///< the cloud confirmed the termination of the task's machine
     lease_expired            ///< the lease of the task's machine expired
 };
-/// Converts the exit cause that a worker reported.
+/// Returns the release reason for an exit cause that a worker reported.
 [[nodiscard]] ReleaseReason release_reason(wire::ExitCause cause);
 /// Returns the name of a release reason in log lines.
 [[nodiscard]] std::string_view release_reason_name(ReleaseReason reason);
@@ -63,12 +64,13 @@
     MachineId machine;
     std::string zone;                             ///< the zone of the machine; set only for a start
     std::optional<ReleaseReason> release_reason;  ///< set only for a release decided by this node
-    /// The leader's term in which the operation was decided; the operation is valid only in that term.
-    /// Between two terms, another leader may have renewed the machine's lease or started the task again.
+    /// The shard leader's term in which the operation was decided. The operation is valid only in that term:
+    /// afterwards, another leader may have renewed the machine's lease or started the task again.
     Term term;
-    SteadyTime accepted_at{};                   ///< when this node decided or received the operation
-    StartCallback on_result;                    ///< may be empty
-    std::optional<ForwardedRequest> forwarded;  ///< empty if this node decided the operation
+    SteadyTime accepted_at{};  ///< when this node decided or received the operation
+    StartCallback on_result;   ///< called with the result unless empty
+    /// The request by which a shard leader forwarded the operation; empty if this node decided it.
+    std::optional<ForwardedRequest> forwarded_request;
 
     [[nodiscard]] bool is_start() const { return kind == OperationKind::start; }
 };
--- a/src/jobs/placement_gatherer.cpp
+++ b/src/jobs/placement_gatherer.cpp
@@ -5,10 +5,10 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // starts at a round's first response
+constexpr Duration gather_timeout = std::chrono::milliseconds(300);  // from a round's first response
 constexpr Duration cleanup_interval = std::chrono::milliseconds(100);
-// Decided rounds are kept this long to recognize late responses; after that, a late response would start a
-// new round.
+// How long decided placement rounds are kept in order to recognize late responses. A response that arrives
+// even later starts a new round.
 constexpr Duration round_retention = std::chrono::seconds(6);
 }  // namespace
 
@@ -27,7 +27,8 @@
 void PlacementGatherer::on_placement_response(const wire::PlacementResponse& response) {
     Round& round = rounds_[response.round];
     if (round.is_decided) {
-        // After the round's decision, an empty decision makes a late scorer release its reserved capacity.
+        // The round is decided already. An empty decision makes the late scorer release the capacity that it
+        // reserved.
         peers_.send(response.scorer, wire::PlacementDecision{response.round, response.job, {}});
         return;
     }
--- a/src/jobs/placement_gatherer.h
+++ b/src/jobs/placement_gatherer.h
@@ -19,16 +19,16 @@
   public:
     /// Keeps all reference arguments; they must outlive the gatherer.
     PlacementGatherer(Env& env, const StateCache& state_cache, PeerChannel& peers);
-    /// Starts the periodic removal of old placement rounds.
+    /// Starts the periodic removal of placement rounds that were decided some time ago.
     void start();
     /// Handles a scorer's response. A response to a round that is already decided is rejected by an empty
     /// decision, so that the scorer releases the reserved capacity.
     void on_placement_response(const wire::PlacementResponse& response);
 
-    /// Totals of decided rounds since the process started.
+    /// Totals of the placement rounds that this node decided as gatherer since the process started.
     struct Counts {
         std::uint64_t rounds_decided = 0;
-        /// Sum of the times from a round's first response to its decision.
+        /// Sum over all decided rounds of the time from the first scorer's response to the decision.
         std::uint64_t total_decision_ms = 0;
     };
     [[nodiscard]] const Counts& counts() const { return counts_; }
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -22,9 +22,10 @@
 // requested together.
 constexpr std::size_t max_tasks_per_request = 64;
 constexpr Duration job_round_interval = std::chrono::milliseconds(50);
-// How long a job waits after a round that found no capacity for some of its tasks.
+// How long a job waits for its next placement round after a round that found no capacity for some of its
+// tasks.
 constexpr Duration placement_failure_delay = std::chrono::milliseconds(400);
-// Tasks are requested again if their placement round has had no result for this long.
+// Timeout of a placement round. If it has no result by then, its tasks are requested again.
 constexpr Duration round_timeout = std::chrono::seconds(4);
 // How long placements of a job must fail before its relay changes, and the minimum time between two changes.
 constexpr Duration relay_change_delay = std::chrono::seconds(4);
@@ -52,8 +53,9 @@
 
 void Relay::remove_expired() {
     backoff_.remove_expired(env_.now());
-    // Entries are removed when a job gets another relay. With an old `failing_since`, a job that returns to
-    // this relay would be passed on immediately, and could move between relays forever.
+    // The entry of a job that gets another relay is removed. If the job later returned to this relay with its
+    // old `failing_since`, its relay would change again immediately, and the job could move between relays
+    // forever.
     std::erase_if(waiting_jobs_, [&](const auto& entry) {
         const Job* job = state_cache_.job(entry.first);
         return job == nullptr || cluster_.relay_of(*job) != settings_.node;
@@ -97,10 +99,11 @@
 // Retries only jobs whose tasks may fit into the freed capacity: placement rounds for all waiting jobs would
 // take too much CPU time on the controllers.
 void Relay::on_capacity_freed(const wire::CapacityFreedNotification& notification) {
-    const auto kinds = backoff_.on_capacity_freed(notification.type, notification.free);
-    if (kinds.empty()) return;
+    const auto groups = backoff_.on_capacity_freed(notification.type, notification.free);
+    if (groups.empty()) return;
     for (auto& [id, waiting] : waiting_jobs_)
-        if (const Job* job = state_cache_.job(id); job != nullptr && kinds.contains(JobKind::of(*job)))
+        if (const Job* job = state_cache_.job(id);
+            job != nullptr && groups.contains(PlacementGroup::of(*job)))
             waiting.next_round_at = {};
     schedule_scan();
 }
@@ -136,7 +139,7 @@
         if (waiting.next_round_at > now || !backoff_.may_start_round(*job, now)) continue;
         if (!start_round(*job, waiting)) continue;
         ++started_rounds;
-        backoff_.on_round_started(JobKind::of(*job), now);
+        backoff_.on_round_started(PlacementGroup::of(*job), now);
     }
 }
 
@@ -144,8 +147,8 @@
 std::vector<const Job*> Relay::close_finished_and_list_pending_jobs() {
     std::vector<const Job*> jobs;
     for (const auto& [id, job] : state_cache_.jobs()) {
-        const bool is_finished = (job.cancelled && job.placed == 0) || job.done == job.spec.tasks;
-        const bool has_pending_tasks = !job.cancelled && job.pending() > 0;
+        const bool is_finished = (job.cancelled && job.placed_tasks == 0) || job.done_tasks == job.spec.tasks;
+        const bool has_pending_tasks = !job.cancelled && job.pending_tasks() > 0;
         if ((!is_finished && !has_pending_tasks) || cluster_.relay_of(job) != settings_.node) continue;
         if (is_finished)
             committer_.close_job(id);
@@ -218,7 +221,7 @@
          page_number < state_cache_.page_count(job) && tasks.size() < max_tasks; ++page_number) {
         const auto found = job.pages.find(page_number);
         const Page* page = found != job.pages.end() ? &found->second : nullptr;
-        if (page != nullptr && page->placed + page->done == page->tasks.size()) continue;
+        if (page != nullptr && page->placed_tasks + page->done_tasks == page->tasks.size()) continue;
         const TaskIndex first_task = page_number * state_cache_.page_size(job),
                         task_count = state_cache_.task_count_in_page(job, page_number);
         for (TaskIndex i = 0; i < task_count && tasks.size() < max_tasks; ++i) {
@@ -230,7 +233,7 @@
         }
     }
     // A gang's pending tasks are requested together or not at all.
-    if (is_gang && tasks.size() != job.pending()) return {};
+    if (is_gang && tasks.size() != job.pending_tasks()) return {};
     return tasks;
 }
 
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -33,7 +33,8 @@
     /// Retries jobs whose tasks may fit into capacity that has been freed.
     void on_capacity_freed(const wire::CapacityFreedNotification& notification);
 
-    /// Totals of placement rounds and failed placements since the process started.
+    /// Totals of the placement rounds that this node started as relay, and of their failed task placements,
+    /// since the process started.
     struct Counts {
         std::uint64_t rounds_started = 0;
         /// Task placements that failed for lack of capacity or because of a conflict.
@@ -68,8 +69,9 @@
 
     std::vector<TaskIndex> tasks_to_request(const Job& job, WaitingJob& waiting) const;
     bool needs_request(const Job& job, WaitingJob& waiting, TaskIndex task, const TaskState& state) const;
-    // Returns whether the team's quota allows `requested_count` more tasks of the job, and whether the task
-    // may start now: after a failed attempt of a gang, only once all tasks of that attempt have ended.
+    // Returns whether the placement of a task in state `state` may be requested. The team's quota must allow
+    // `requested_count` more tasks of the job, and after a failed attempt of a gang, all tasks of that
+    // attempt must have ended.
     bool is_request_allowed(const Job& job, const TaskState& state, TaskIndex requested_count) const;
     void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
 
--- a/src/jobs/task_committer.cpp
+++ b/src/jobs/task_committer.cpp
@@ -6,7 +6,8 @@
 
 namespace zincdyke {
 namespace {
-// Operations that other controllers forward are rejected while this many operations or more are pending.
+// Operations that other controllers forward are rejected while the number of pending operations is at or
+// above this limit.
 constexpr std::size_t max_pending_operations = 20'000;
 constexpr double demand_smoothing_factor = 0.6;
 }  // namespace
@@ -71,7 +72,8 @@
 // or can't reach it.
 void TaskCommitter::accept(const JobId& job, PendingOperation operation) {
     const auto term = cluster_.leader_term(operation.machine);
-    // Workers repeat a task's status in each heartbeat until it is cleared, so duplicates are dropped.
+    // Workers repeat a task's status in each heartbeat until they are commanded to clear it, so duplicates of
+    // an unfinished operation are dropped.
     if (!term ||
         !unfinished_operations_.insert({{job, operation.task}, operation.kind, operation.attempt}).second) {
         if (operation.on_result)
@@ -109,14 +111,14 @@
         operation.zone = requested.zone;
         operation.term = Term{requested.term};
         operation.accepted_at = env_.now();
-        operation.forwarded = forwarded_request;
+        operation.forwarded_request = forwarded_request;
         enqueue(request.job, std::move(operation));
     }
 }
 
 void TaskCommitter::on_commit_response(const wire::CommitResponse& response) {
     apply_stored_records(state_cache_, response.records);
-    for (auto& answered : forwarder_.take_answered(response))
+    for (auto& answered : forwarder_.take_answered_operations(response))
         deliver_result(answered.job, answered.operation, answered.is_committed);
 }
 
@@ -132,7 +134,7 @@
 // Delivers an operation's result to its requester: through the responder for a forwarded operation, or
 // through the operation's callback.
 void TaskCommitter::deliver_result(const JobId& job, PendingOperation& operation, bool is_committed) {
-    if (operation.forwarded) return responder_.add_result(*operation.forwarded, is_committed);
+    if (operation.forwarded_request) return responder_.add_result(*operation.forwarded_request, is_committed);
     unfinished_operations_.erase({{job, operation.task}, operation.kind, operation.attempt});
     if (operation.on_result)
         env_.after(Duration(0),
@@ -155,8 +157,8 @@
 TaskCommitter::Counts TaskCommitter::counts() const {
     const CommitExecutor::Counts& executed = executor_.counts();
     const CommitForwarder::Counts& forwarding = forwarder_.counts();
-    return {executed.sent_transactions,     executed.written_pages, executed.committed_starts,
-            executed.committed_ends,        executed.conflicts,     forwarding.forwarded_operations,
+    return {executed.sent_transactions,     executed.written_pages,         executed.committed_starts,
+            executed.committed_ends,        executed.transaction_conflicts, forwarding.forwarded_operations,
             forwarding.reclaimed_operations};
 }
 
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -22,15 +22,17 @@
 
 namespace zincdyke {
 
-/// Accepts operations from this node and its peers, routes them to their committer and delivers the results.
-/// Runs on the event-loop thread. The committer must outlive the timers and requests that it starts.
+/// Accepts task starts and ends from this node and its peers, routes each one to its job's committer and
+/// delivers the result. Runs on the event-loop thread. The object must outlive the timers and requests that
+/// it starts.
 class TaskCommitter : private CommitObserver {
   public:
-    /// Totals of transactions and operations since the process started. `reclaimed_operations` counts
-    /// forwarded operations that this node committed itself because their committer failed.
+    /// Totals of this node's commit transactions and operations since the process started.
+    /// `reclaimed_operations` counts forwarded operations that this node had to commit itself because their
+    /// committer failed.
     struct Counts {
         std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
-                      conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
+                      transaction_conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
     };
 
     /// Keeps all reference arguments; they must outlive the committer.
@@ -56,7 +58,7 @@
     void on_commit_request(const NodeName& from, const wire::CommitRequest& request);
     /// Handles a committer's response to operations that this node forwarded.
     void on_commit_response(const wire::CommitResponse& response);
-    /// Assigns a job's queued operations to its new, smaller pages.
+    /// Regroups a job's queued operations by page after the job has switched to smaller pages.
     void on_pages_resized(const JobId& id);
 
     /// Replaces the record of a finished job by its final record.
@@ -64,13 +66,14 @@
 
     /// Returns the number of operations that are queued at this node or part of a transaction in flight.
     [[nodiscard]] std::size_t queue_length() const { return pending_count_; }
-    /// Returns the smoothed number of pages that this node has to write per peer heartbeat. Call it once for
-    /// each heartbeat.
+    /// Returns the smoothed number of pages that this node has to write per peer heartbeat interval. Call it
+    /// once for each peer heartbeat that this node sends.
     [[nodiscard]] double sample_write_demand();
     [[nodiscard]] Counts counts() const;
 
   private:
-    // Identifies an unfinished operation of this node, so that repeated heartbeats don't submit it twice.
+    // Identifies an operation that this node decided and that has no result yet. Workers repeat a task's
+    // status in each heartbeat; the key prevents that the same operation is accepted twice.
     struct UnfinishedKey {
         TaskRef task;
         OperationKind kind = OperationKind::start;
@@ -93,7 +96,7 @@
     JobRecordWriter record_writer_;
     CommitQueue queue_;
     CommitExecutor executor_;
-    std::set<UnfinishedKey> unfinished_operations_;  // operations decided by this node
+    std::set<UnfinishedKey> unfinished_operations_;  // decided by this node, without a result yet
     std::size_t pending_count_ = 0;
     std::uint64_t sampled_written_pages_ = 0;
     double write_demand_ = 0;
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -9,8 +9,8 @@
 namespace zincdyke {
 namespace {
 constexpr Duration reread_delay = std::chrono::milliseconds(150);
-// A live holder keeps a team lock at least this long. Otherwise, two controllers that can't reach each other
-// would take the lock from each other before either could commit a start.
+// Minimum time for which a live holder keeps a team lock. Without it, two controllers that can't reach each
+// other would take the lock from each other before either could commit a start.
 constexpr Duration min_hold_time = std::chrono::seconds(1);
 }  // namespace
 
@@ -26,8 +26,8 @@
 std::optional<Revision> TeamLocks::fencing_token(const TeamName& team) {
     Lock& lock = locks_[team];
     if (lock.state != LockState::held) return std::nullopt;
-    // A newer version of the lock record was written by another controller, or by a delayed request of this
-    // process.
+    // If the lock record has a newer version, another controller or a delayed request of this process has
+    // written it, and the fencing token is no longer valid.
     if (state_cache_.version(keys::team_lock(team)) > lock.fencing_token) {
         lock.state = LockState::not_held;
         return std::nullopt;
@@ -35,7 +35,7 @@
     // A state cache that was reloaded may lack commits that this process made during the reload.
     if (lock.cache_generation != state_cache_.generation()) {
         lock.cache_generation = state_cache_.generation();
-        lock.required_revision = std::max(lock.fencing_token, lock.last_commit);
+        lock.required_revision = std::max(lock.fencing_token, lock.last_commit_revision);
     }
     if (state_cache_.applied_revision < lock.required_revision) return std::nullopt;
     return lock.fencing_token;
@@ -72,7 +72,7 @@
         if (result.outcome == Outcome::ok) {
             Lock& lock = locks_[team];
             lock.state = LockState::catching_up;
-            lock.fencing_token = lock.last_commit = lock.required_revision = result.revision;
+            lock.fencing_token = lock.last_commit_revision = lock.required_revision = result.revision;
             log::info("event=team_lock_acquired team={} token={}", team.value(), result.revision.value());
             state_cache_.apply({key, records::encode_team_lock_holder(self_), result.revision});
             return catch_up(team);
@@ -102,7 +102,7 @@
 
 void TeamLocks::on_starts_committed(const TeamName& team, Revision revision) {
     Lock& lock = locks_[team];
-    lock.last_commit = std::max(lock.last_commit, revision);
+    lock.last_commit_revision = std::max(lock.last_commit_revision, revision);
     // If the state cache was reloaded during the commit, it may lack the job of the committed start.
     if (lock.cache_generation != state_cache_.generation())
         lock.required_revision = std::max(lock.required_revision, revision);
--- a/src/jobs/team_locks.h
+++ b/src/jobs/team_locks.h
@@ -1,7 +1,8 @@
 /// Team locks, which make one controller at a time the committer of all task starts of a team with a quota
-/// limit. A lock is a record of the key-value store. Its version is the fencing token: every commit of such a
-/// start has it as a condition, and only acquiring the lock changes it. The holder therefore knows all starts
-/// of the team: earlier ones from the state that it read afterwards, later ones as its own.
+/// limit. A lock is a record of the key-value store. Its version is the fencing token, which is a condition
+/// of every commit of the team's task starts and changes only when the lock is acquired. The holder therefore
+/// has all starts of the team in its state cache: those of earlier holders after it has read the state once
+/// more, and later ones because it commits them itself.
 #pragma once
 #include <functional>
 #include <map>
@@ -25,8 +26,8 @@
     /// Keeps all reference arguments; they must outlive this object. `self` is the name of this node.
     TeamLocks(Env& env, StoreClient& store, StateCache& state_cache, ClusterCoordinator& cluster,
               NodeName self, ReadyCallback on_ready);
-    /// Returns the fencing token of a team lock, or nothing unless this process holds the lock and the state
-    /// cache contains every task of the team that may be placed on a machine.
+    /// Returns the fencing token of a team lock if this process holds the lock and the state cache contains
+    /// every task of the team that may be placed on a machine; otherwise returns nothing.
     [[nodiscard]] std::optional<Revision> fencing_token(const TeamName& team);
     /// Starts an attempt to acquire a team lock. Failed attempts are not retried: callers repeat the call
     /// while they have starts to commit.
@@ -51,11 +52,11 @@
     };
     struct Lock {
         LockState state = LockState::not_held;
-        Revision fencing_token;  // version of the lock record that this process wrote
-        Revision last_commit;    // revision of the last commit with the fencing token
-        // The revision that the state cache must have reached to contain all placed tasks of the team.
+        Revision fencing_token;         // version of the lock record that this process wrote
+        Revision last_commit_revision;  // revision of the last commit with the fencing token
+        // Revision that the state cache must have reached to contain all placed tasks of the team.
         Revision required_revision;
-        std::uint64_t cache_generation = 0;  // generation of the state cache for `required_revision`
+        std::uint64_t cache_generation = 0;  // StateCache::generation() for which `required_revision` was set
         OtherHolder other_holder;
     };
     [[nodiscard]] bool must_wait_for_other_holder(const TeamName& team, Lock& lock) const;
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -32,12 +32,13 @@
 TransactionBuilder::TransactionBuilder(const StateCache& state_cache, const Settings& settings,
                                        BuildContext context)
     : state_cache_(state_cache), settings_(settings), context_(std::move(context)) {
-    if (!context_.lock) return;
-    effects_.quota_usage = state_cache_.quota_usage(context_.lock->team);
-    add_condition({keys::team_lock(context_.lock->team), context_.lock->fencing_token});
+    if (!context_.team_lock) return;
+    effects_.quota_usage = state_cache_.quota_usage(context_.team_lock->team);
+    add_condition({keys::team_lock(context_.team_lock->team), context_.team_lock->fencing_token});
 }
 
-// Returns the number of conditions, including the shard terms, which finish() adds to the transaction.
+// Returns the transaction's number of conditions, including those for the shard terms, which are added only
+// by finish().
 std::size_t TransactionBuilder::condition_count() const {
     return built_.transaction.conditions.size() + effects_.terms_by_shard.size();
 }
@@ -52,13 +53,14 @@
                limits.conditions();
 }
 
-// Returns the term that the commit of an operation needs as a condition, or nothing if the operation was
-// decided in a term that has ended. The term of a forwarded operation may be newer than the cached one; the
-// commit fails if that term is not the current one.
+// Returns the leader's term that the commit of an operation needs as a condition, or nothing if the operation
+// was decided in a term that has ended. The term of a forwarded operation may be newer than the cached one;
+// the commit fails if that term is not the current one.
 std::optional<Term> TransactionBuilder::valid_term(const PendingOperation& operation,
                                                    std::uint32_t shard) const {
-    const bool has_term_ended = operation.forwarded ? state_cache_.shards()[shard].term > operation.term
-                                                    : context_.own_leader_term(shard) != operation.term;
+    const bool has_term_ended = operation.forwarded_request
+                                    ? state_cache_.shards()[shard].term > operation.term
+                                    : context_.own_leader_term(shard) != operation.term;
     if (has_term_ended) return std::nullopt;
     return operation.term;
 }
@@ -94,10 +96,11 @@
     for (auto& operation : operations) {
         const std::uint32_t shard = state_cache_.shard_of(operation.machine);
         const auto term = valid_term(operation, shard);
-        // Operations whose shard term would exceed the limit of conditions wait for the next transaction.
+        // The term of each shard adds a condition to the transaction. An operation of another shard is
+        // deferred to the next transaction if the number of conditions would exceed the store's limit.
         if (term && !effects_.terms_by_shard.contains(shard) &&
             condition_count() + max_conditions_per_page(job) + 1 > max_conditions) {
-            result.deferred.push_back(std::move(operation));
+            result.deferred_operations.push_back(std::move(operation));
             continue;
         }
         if (job == nullptr || !term || !is_compatible(*job, operation, shard, *term) ||
@@ -109,13 +112,14 @@
         effects_.terms_by_shard.emplace(shard, *term);
         if (operation.is_start() && job->spec.one_zone) effects_.zones_by_job[page.job] = operation.zone;
         if (!operation.is_start()) built_.has_ends = true;
-        result.applied.push_back(std::move(operation));
+        result.applied_operations.push_back(std::move(operation));
     }
     return result;
 }
 
-// Returns whether a page's record fits the store's value limit. From the format level of small pages on, or
-// after the store has rejected a value for its size, the strictest limit in the settings applies.
+// Returns whether a page's record fits the store's limit for the size of a value. This is the strictest limit
+// in the settings once all controllers can read small pages, or once the store has rejected a value for its
+// size; until then, it is the store's current limit.
 bool TransactionBuilder::fits_value_limit(std::size_t task_count, std::size_t record_bytes) const {
     if (task_count <= state_cache_.safe_page_size()) return true;
     const bool use_strictest_limits =
@@ -128,38 +132,40 @@
     const Job* job = state_cache_.job(page.job);
     const Effects previous_effects = effects_;
     AppliedPage result = apply_operations(page, job, std::move(operations));
-    if (!result.applied.empty()) {
+    if (!result.applied_operations.empty()) {
         Json record =
             records::encode_page(result.tasks, std::size_t{page.page} * state_cache_.page_size(*job));
         const std::size_t record_bytes = record.dump().size();
         if (fits_value_limit(result.tasks.size(), record_bytes)) {
             add_writes(page, *job, result.tasks, std::move(record));
             total_record_bytes_ += record_bytes;
-            built_.operations.push_back({page, std::move(result.applied)});
+            built_.operations.push_back({page, std::move(result.applied_operations)});
         } else {
             effects_ = previous_effects;
             return defer_or_reject(page, *job, std::move(result));
         }
     }
-    if (!result.deferred.empty()) built_.deferred_operations.push_back({page, std::move(result.deferred)});
+    if (!result.deferred_operations.empty())
+        built_.deferred_operations.push_back({page, std::move(result.deferred_operations)});
 }
 
-// Handles a page whose record would be too large. Ends are deferred, since they make the record smaller.
-// Starts are deferred if the job can get smaller pages, and rejected otherwise.
+// Handles a page whose record would exceed the store's value limit. Task ends are deferred to a later
+// transaction without the starts, since they make the record smaller. Task starts are deferred if the job can
+// get smaller pages, and rejected otherwise.
 void TransactionBuilder::defer_or_reject(const PageKey& page, const Job& job, AppliedPage oversized) {
     const bool may_resize = state_cache_.fleet_format_level() >= FormatLevel::small_pages &&
                             state_cache_.safe_page_size() < state_cache_.page_size(job);
     if (may_resize) built_.notices.emplace_back(PageResizeNeeded{page.job});
-    for (auto& operation : oversized.applied) {
+    for (auto& operation : oversized.applied_operations) {
         if (may_resize || !operation.is_start()) {
-            oversized.deferred.push_back(std::move(operation));
+            oversized.deferred_operations.push_back(std::move(operation));
             continue;
         }
         built_.notices.emplace_back(PageFull{page});
         built_.notices.emplace_back(SettledOperation{page.job, std::move(operation), false});
     }
-    if (!oversized.deferred.empty())
-        built_.deferred_operations.push_back({page, std::move(oversized.deferred)});
+    if (!oversized.deferred_operations.empty())
+        built_.deferred_operations.push_back({page, std::move(oversized.deferred_operations)});
 }
 
 void TransactionBuilder::add_condition(const Condition& condition) {
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -29,8 +29,8 @@
     std::size_t max_writes = 0;
     /// Whether the store has rejected a value for its size, so that the strictest value limit applies.
     bool store_rejected_value = false;
-    /// The team lock; set if the transaction contains starts of a team with a quota limit.
-    std::optional<TeamLockToken> lock;
+    /// Set if the transaction contains task starts of a team with a quota limit.
+    std::optional<TeamLockToken> team_lock;
     /// Returns the term in which this node leads a shard, or nothing if it does not lead the shard.
     std::function<std::optional<Term>(std::uint32_t shard)> own_leader_term;
 };
@@ -60,7 +60,8 @@
 /// An event during the build of a transaction, which the caller must handle before it sends the transaction.
 using BuildNotice = std::variant<SettledOperation, PageFull, PageResizeNeeded>;
 
-/// The result of TransactionBuilder: a transaction, the operations in it and the operations left out.
+/// The result of TransactionBuilder: a transaction, the operations that it commits, and the operations that
+/// are left for a later transaction.
 struct BuiltTransaction {
     Transaction transaction;
     /// The operations in the transaction. If empty, there is nothing to send.
@@ -74,8 +75,9 @@
     bool has_ends = false;
 };
 
-/// Builds one transaction page by page, within the limits of the store, and checks whether each operation is
-/// allowed. It has no side effects; the state cache and the settings must not change before finish() returns.
+/// Builds one transaction page by page within the store's limits, and checks whether each operation is
+/// allowed. The builder changes neither the state cache nor the store. The state cache and the settings must
+/// not change before finish() returns.
 class TransactionBuilder {
   public:
     /// Keeps both references; they must outlive the builder.
@@ -101,7 +103,7 @@
     };
     struct AppliedPage {
         std::vector<TaskState> tasks;  // the page's tasks after the applied operations
-        std::vector<PendingOperation> applied, deferred;
+        std::vector<PendingOperation> applied_operations, deferred_operations;
     };
     [[nodiscard]] AppliedPage apply_operations(const PageKey& page, const Job* job,
                                                std::vector<PendingOperation> operations);
--- a/src/store/format_levels.h
+++ b/src/store/format_levels.h
@@ -13,10 +13,11 @@
 /// set of all controllers of the deployment.
 class FormatLevels {
   public:
-    /// Sets the fleet's level; ignores a lower level than the current one.
+    /// Sets the format level that the fleet writes; ignores a level below the current one.
     void raise_fleet_level(std::uint32_t level) { fleet_level_ = std::max(fleet_level_, level); }
     void set_supported_level(const NodeName& node, std::uint32_t level) { supported_levels_[node] = level; }
-    /// Removes the controllers' levels before a reload. Keeps the fleet's level, which never decreases.
+    /// Removes the supported levels of all controllers, before the state cache is reloaded. Keeps the level
+    /// that the fleet writes, which never decreases.
     void clear() { supported_levels_.clear(); }
 
     /// The format level of the records that all controllers write.
--- a/src/store/job.cpp
+++ b/src/store/job.cpp
@@ -9,8 +9,8 @@
         return static_cast<TaskIndex>(std::count_if(
             tasks.begin(), tasks.end(), [&](const TaskState& task) { return task.status == status; }));
     };
-    placed = count_of(TaskState::Status::placed);
-    done = count_of(TaskState::Status::done);
+    placed_tasks = count_of(TaskState::Status::placed);
+    done_tasks = count_of(TaskState::Status::done);
 }
 
 }  // namespace zincdyke
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -34,9 +34,9 @@
     /// Version of the page's record; 0 if the record was never written.
     Revision version;
     std::vector<TaskState> tasks;
-    /// Number of placed and of done tasks in `tasks`.
-    TaskIndex placed = 0, done = 0;
-    /// Recomputes `placed` and `done` from `tasks`.
+    TaskIndex placed_tasks = 0;  ///< number of the page's tasks that are placed
+    TaskIndex done_tasks = 0;    ///< number of the page's tasks that are done
+    /// Recomputes `placed_tasks` and `done_tasks` from `tasks`.
     void update_counts();
 };
 
@@ -59,9 +59,9 @@
     std::map<std::uint32_t, Page> pages;
     /// Standard pages from before the job switched to small pages, by page number; no longer written.
     std::map<std::uint32_t, Page> frozen_pages;
-    /// Number of placed and of done tasks over all of `pages`.
-    TaskIndex placed = 0, done = 0;
-    [[nodiscard]] TaskIndex pending() const { return spec.tasks - placed - done; }
+    TaskIndex placed_tasks = 0;  ///< number of the job's tasks that are placed
+    TaskIndex done_tasks = 0;    ///< number of the job's tasks that are done
+    [[nodiscard]] TaskIndex pending_tasks() const { return spec.tasks - placed_tasks - done_tasks; }
 };
 
 }  // namespace zincdyke
--- a/src/store/keys.cpp
+++ b/src/store/keys.cpp
@@ -8,7 +8,7 @@
 
 struct Prefix {
     std::string_view text;
-    Kind kind;
+    RecordKind kind;
 };
 constexpr std::string_view job_prefix = "z/j/";
 constexpr std::string_view standard_page_prefix = "z/t/";
@@ -19,14 +19,14 @@
 constexpr std::string_view team_lock_prefix = "z/q/";
 constexpr std::string_view supported_format_level_prefix = "z/v/";
 constexpr std::array<Prefix, 8> prefixes{{
-    {job_prefix, Kind::job},
-    {standard_page_prefix, Kind::standard_page},
-    {small_page_prefix, Kind::small_page},
-    {final_state_prefix, Kind::final_state},
-    {node_prefix, Kind::node},
-    {shard_prefix, Kind::shard},
-    {team_lock_prefix, Kind::team_lock},
-    {supported_format_level_prefix, Kind::supported_format_level},
+    {job_prefix, RecordKind::job},
+    {standard_page_prefix, RecordKind::standard_page},
+    {small_page_prefix, RecordKind::small_page},
+    {final_state_prefix, RecordKind::final_state},
+    {node_prefix, RecordKind::node},
+    {shard_prefix, RecordKind::shard},
+    {team_lock_prefix, RecordKind::team_lock},
+    {supported_format_level_prefix, RecordKind::supported_format_level},
 }};
 
 std::string join(std::string_view prefix, const std::string& name) { return std::string(prefix) + name; }
@@ -44,7 +44,7 @@
 }
 
 // Parses the part of a page key after its prefix: "JOB/NUMBER".
-ParsedKey parse_page(Kind kind, std::string_view suffix) {
+ParsedKey parse_page(RecordKind kind, std::string_view suffix) {
     const auto slash = suffix.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return {kind, {}, std::nullopt};
     return {kind, suffix.substr(0, slash), parse_number(suffix.substr(slash + 1))};
@@ -68,14 +68,15 @@
 }
 
 ParsedKey parse(std::string_view key) {
-    if (key == autoscaler_leader) return {Kind::autoscaler, {}, std::nullopt};
-    if (key == machine_types) return {Kind::machine_type_list, {}, std::nullopt};
-    if (key == fleet_format_level) return {Kind::fleet_format, {}, std::nullopt};
+    if (key == autoscaler_leader) return {RecordKind::autoscaler, {}, std::nullopt};
+    if (key == machine_types) return {RecordKind::machine_type_list, {}, std::nullopt};
+    if (key == fleet_format_level) return {RecordKind::fleet_format, {}, std::nullopt};
     for (const auto& [prefix, kind] : prefixes) {
         if (!key.starts_with(prefix)) continue;
         const std::string_view suffix = key.substr(prefix.size());
-        if (kind == Kind::standard_page || kind == Kind::small_page) return parse_page(kind, suffix);
-        if (kind == Kind::shard) return {kind, {}, parse_number(suffix)};
+        if (kind == RecordKind::standard_page || kind == RecordKind::small_page)
+            return parse_page(kind, suffix);
+        if (kind == RecordKind::shard) return {kind, {}, parse_number(suffix)};
         return {kind, suffix, std::nullopt};
     }
     return {};
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -19,7 +19,7 @@
 /// Key of the record with the format level that all controllers write.
 inline const std::string fleet_format_level = "z/l";
 
-/// Returns the key of an accepted job that has not ended.
+/// Returns the key of the record of an accepted job that has not ended.
 [[nodiscard]] std::string job(const JobId& id);
 /// Returns the key of a standard-size page of a job's tasks.
 [[nodiscard]] std::string page(const JobId& id, std::uint32_t number);
@@ -36,8 +36,8 @@
 /// Returns the key of the record with the highest format level that a controller supports.
 [[nodiscard]] std::string supported_format_level(const NodeName& name);
 
-/// The kind of record that a key identifies.
-enum class Kind : std::uint8_t {
+/// The kinds of records in the key-value store, as identified by their keys.
+enum class RecordKind : std::uint8_t {
     other,  ///< a key that this version of the program does not recognize
     job,
     standard_page,
@@ -54,19 +54,22 @@
 
 /// The components of a parsed key. `name` refers to the characters of the key, which must outlive it.
 struct ParsedKey {
-    Kind kind = Kind::other;
-    /// The id of the job for keys of jobs, pages and final states, or the name of the node or team. Empty for
-    /// other kinds and for a malformed page key.
+    RecordKind kind = RecordKind::other;
+    /// The part of the key that identifies a job, node or team: a job's id in keys of jobs, pages and final
+    /// states, otherwise a node's or team's name. Empty for other records and for a malformed page key.
     std::string_view name;
     /// The page number or shard number; `std::nullopt` if the key has no valid number.
     std::optional<std::uint32_t> number;
 
     /// Whether the key is that of a standard or a small page.
-    [[nodiscard]] bool is_page() const { return kind == Kind::standard_page || kind == Kind::small_page; }
+    [[nodiscard]] bool is_page() const {
+        return kind == RecordKind::standard_page || kind == RecordKind::small_page;
+    }
     [[nodiscard]] JobId job() const { return JobId(std::string(name)); }
     [[nodiscard]] NodeName node() const { return NodeName(std::string(name)); }
     [[nodiscard]] TeamName team() const { return TeamName(std::string(name)); }
 };
+/// Splits a record's key into its components. Returns `RecordKind::other` for an unrecognized key.
 [[nodiscard]] ParsedKey parse(std::string_view key);
 /// Rejects a temporary string, because the result refers to the characters of the key.
 ParsedKey parse(std::string&& key) = delete;
--- a/src/store/machine_images.cpp
+++ b/src/store/machine_images.cpp
@@ -19,8 +19,9 @@
     if (entry.recent_images.size() > max_images_per_machine) entry.recent_images.pop_back();
 }
 
-// Evicts the machines that had no placement in the latest quarter of the store's revisions, and all machines
-// if the index is still full. Terminated machines may have been left in the index.
+// Limits the size of the index, which may contain machines that were terminated without a call of `forget`.
+// Evicts the machines that had no placement in the latest quarter of the store's revisions, and then all
+// machines if the index is still full.
 void MachineImages::evict_inactive_machines(Revision current) {
     const Revision oldest_kept{current.value() - current.value() / 4};
     std::erase_if(machines_, [&](const auto& entry) { return entry.second.last_placed_at < oldest_kept; });
--- a/src/store/membership_index.h
+++ b/src/store/membership_index.h
@@ -1,4 +1,4 @@
-/// Index of the live controllers and the roles that they lead.
+/// Index of the live controllers, the leaders of the shards and the leader of the autoscaler.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -13,9 +13,9 @@
 /// Versions of deleted keys are kept as well, so that an update older than the deletion is not applied.
 class RecordVersions {
   public:
-    /// Stores the update's version. Returns false if the stored version is the same or newer: the caller must
-    /// then ignore the update, which may be outdated because the watch lags behind this node's own commits
-    /// and a list may lag behind both.
+    /// Stores the version of a record update and returns true. If the stored version is the same or newer,
+    /// keeps it and returns false: the caller must ignore the update. Updates may arrive late, because the
+    /// watch lags behind this node's own commits and a list may lag behind both.
     [[nodiscard]] bool update_if_newer(const KeyUpdate& update);
     /// Returns the version of an existing record; 0 if the record was deleted or never read.
     [[nodiscard]] Revision version(const std::string& key) const;
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -9,8 +9,8 @@
 
 namespace zincdyke::records {
 namespace {
-// Attempt assigned to a service's task that an earlier version of the program recorded as done, which left
-// out its attempt. Larger than any attempt that the task can have reached.
+// Attempt assigned to a service's task that an earlier version of the program recorded as done. Such a record
+// lacks the task's attempt; this value is larger than any attempt that the task can have reached.
 constexpr Attempt replacement_attempt = 1'000'000;
 // Value of `pages.layout` in a job's record: the pages have the size in `pages.size`.
 constexpr int small_pages_layout = 1;
@@ -74,11 +74,11 @@
 }
 
 // Decodes the tasks in a page's record. Throws an exception if the record is malformed.
-std::vector<TaskState> decode_page_record(const Json& record, bool is_service, std::size_t first,
-                                          TaskIndex count) {
-    std::vector<TaskState> tasks(count);
+std::vector<TaskState> decode_page_record(const Json& record, bool is_service, std::size_t first_task,
+                                          TaskIndex task_count) {
+    std::vector<TaskState> tasks(task_count);
     const auto task_of = [&](const Json& entry) -> TaskState& {
-        return tasks.at(entry.at(0).get<std::size_t>() - first);
+        return tasks.at(entry.at(0).get<std::size_t>() - first_task);
     };
     if (record.contains("p"))
         for (const auto& entry : record["p"]) {
@@ -97,12 +97,12 @@
 
 }  // namespace
 
-Json encode_page(const std::vector<TaskState>& tasks, std::size_t first) {
+Json encode_page(const std::vector<TaskState>& tasks, std::size_t first_task) {
     Json placed = Json::array(), pending_tried = Json::array();
     bool is_any_done = false;
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         const TaskState& task = tasks[i];
-        const std::size_t index = i + first;
+        const std::size_t index = i + first_task;
         if (task.status == TaskState::Status::placed) {
             Json entry = {index, task.attempt, task.machine.value()};
             if (!task.zone.empty()) entry.push_back(task.zone);
@@ -120,12 +120,12 @@
     return record;
 }
 
-std::optional<std::vector<TaskState>> decode_page(const Json& record, const Job& job, std::size_t first,
-                                                  TaskIndex count) {
+std::optional<std::vector<TaskState>> decode_page(const Json& record, const Job& job, std::size_t first_task,
+                                                  TaskIndex task_count) {
     try {
-        return decode_page_record(record, job.spec.is_service(), first, count);
+        return decode_page_record(record, job.spec.is_service(), first_task, task_count);
     } catch (const std::exception& error) {
-        log::error("event=invalid_record job={} first_task={} reason={}", job.spec.id.value(), first,
+        log::error("event=invalid_record job={} first_task={} reason={}", job.spec.id.value(), first_task,
                    error.what());
         return std::nullopt;
     }
@@ -139,8 +139,9 @@
     if (job.small_page_size != 0)
         record["pages"] = {{"layout", small_pages_layout}, {"size", job.small_page_size}};
     if (record.dump().size() <= max_bytes) return record;
-    // A job accepted under larger limits must remain cancellable and movable to another relay. Only its list
-    // of allowed machine types can be that long; types that do not exist and duplicates can be omitted.
+    // A job that was accepted under larger value limits must remain cancellable and movable to another relay.
+    // Only its list of allowed machine types can make its record too large. Duplicates and types that do not
+    // exist can be omitted from that list.
     if (!job.spec.types || types.empty()) return record;
     wire::JobSpec spec = job.spec;
     spec.types->clear();
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -16,15 +16,15 @@
 
 using wire::Json;
 
-/// Encodes the record of a page; `first` is the index of the page's first task in the job. `p`: placed tasks
-/// as `[index, attempt, machine]`, with the zone as fourth element if the job is spread over zones. `t`:
-/// pending tasks that were tried, as `[index, last attempt]`. `d`: done tasks as hex digits, each a bit mask
-/// of four tasks with the first task in the lowest bit. Empty fields are omitted.
-[[nodiscard]] Json encode_page(const std::vector<TaskState>& tasks, std::size_t first);
-/// Decodes the record of a page that contains `count` tasks of the job, starting at index `first`. Logs an
-/// error and returns `std::nullopt` if the record is malformed.
+/// Encodes the record of a page; `first_task` is the index of the page's first task in the job. `p`: placed
+/// tasks as `[index, attempt, machine]`, with the zone as fourth element if the job is spread over zones.
+/// `t`: pending tasks that were tried, as `[index, last attempt]`. `d`: done tasks as hex digits, each a bit
+/// mask of four tasks with the first task in the lowest bit. Empty fields are omitted.
+[[nodiscard]] Json encode_page(const std::vector<TaskState>& tasks, std::size_t first_task);
+/// Decodes the record of a page that contains `task_count` tasks of the job, starting at index `first_task`.
+/// Logs an error and returns `std::nullopt` if the record is malformed.
 [[nodiscard]] std::optional<std::vector<TaskState>> decode_page(const Json& record, const Job& job,
-                                                                std::size_t first, TaskIndex count);
+                                                                std::size_t first_task, TaskIndex task_count);
 
 /// Encodes a job's record: `spec` (as submitted by the user), `at` (time of submission in ms since 1970,
 /// UTC), `relay` (controller that requests placements), `x` (true if cancelled), `pin` (assigned zone) and
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -5,13 +5,14 @@
 
 namespace zincdyke {
 namespace {
-// Part of the store's rate limits that is used. Below 1 because the clocks of the nodes and the store differ.
+// The fraction of the store's rate limits that the controllers use. Below 1 because the clocks of the nodes
+// and the store differ.
 constexpr double usable_share = 0.95;
-constexpr double user_read_share = 0.25;  // part of the request budget reserved for users' reads
+constexpr double user_read_share = 0.25;  // fraction of the request budget reserved for users' reads
 // Writes reserved for submissions and sessions, which must not wait for commits of task starts and ends.
 constexpr double reserved_writes = 1.0;
 constexpr double write_load_window_s = 8;
-constexpr double min_rate = 1.0;
+constexpr double min_refill_rate_per_s = 1.0;
 constexpr double min_commit_writes = 2.0;
 }  // namespace
 
@@ -21,51 +22,53 @@
 
 void RequestBudget::set_share(double request_share, double write_share) {
     const double request_rate = settings_.state_rps * request_share * usable_share;
-    requests_.set_rate(std::max(min_rate, request_rate * (1 - user_read_share)));
-    user_reads_.set_rate(std::max(min_rate, request_rate * user_read_share));
-    writes_.set_rate(std::max(min_rate, settings_.strictest_limits.write_rps * write_share * usable_share));
+    request_bucket_.set_refill_rate(std::max(min_refill_rate_per_s, request_rate * (1 - user_read_share)));
+    user_read_bucket_.set_refill_rate(std::max(min_refill_rate_per_s, request_rate * user_read_share));
+    write_bucket_.set_refill_rate(
+        std::max(min_refill_rate_per_s, settings_.strictest_limits.write_rps * write_share * usable_share));
 }
 
-std::optional<Duration> RequestBudget::take_or_wait(SteadyTime now, RequestPriority priority, double writes) {
+std::optional<Duration> RequestBudget::take_or_wait(SteadyTime now, RequestPriority priority,
+                                                    double write_count) {
     const bool from_user_reads =
-        priority == RequestPriority::user && writes == 0 && user_reads_.refill_and_check(now, 1);
-    const bool has_request = from_user_reads || requests_.refill_and_check(now, 1);
-    const bool has_writes = writes == 0 || writes_.refill_and_check(now, writes);
+        priority == RequestPriority::user && write_count == 0 && user_read_bucket_.refill_and_check(now, 1);
+    const bool has_request = from_user_reads || request_bucket_.refill_and_check(now, 1);
+    const bool has_writes = write_count == 0 || write_bucket_.refill_and_check(now, write_count);
     if (!has_request || !has_writes)
-        return std::max(has_request ? Duration(0) : requests_.time_until(1),
-                        has_writes ? Duration(0) : writes_.time_until(writes));
-    (from_user_reads ? user_reads_ : requests_).take(1);
-    if (writes > 0) {
-        writes_.take(writes);
-        add_recent_writes(now, writes);
+        return std::max(has_request ? Duration(0) : request_bucket_.time_until(1),
+                        has_writes ? Duration(0) : write_bucket_.time_until(write_count));
+    (from_user_reads ? user_read_bucket_ : request_bucket_).take(1);
+    if (write_count > 0) {
+        write_bucket_.take(write_count);
+        add_recent_writes(now, write_count);
     }
     return std::nullopt;
 }
 
 void RequestBudget::take_unconditionally(SteadyTime now) {
-    requests_.refill(now);
-    requests_.take(1);
+    request_bucket_.refill(now);
+    request_bucket_.take(1);
 }
 
-void RequestBudget::drain(double writes) { (writes > 0 ? writes_ : requests_).drain(); }
+void RequestBudget::drain(double write_count) { (write_count > 0 ? write_bucket_ : request_bucket_).drain(); }
 
 std::size_t RequestBudget::available_writes(SteadyTime now) {
-    // A full bucket passes this check even if its capacity is smaller. It must then still allow one commit of
-    // two writes.
-    if (!writes_.refill_and_check(now, min_commit_writes + reserved_writes) ||
-        !requests_.refill_and_check(now, 1))
+    // A full write budget passes this check even if its capacity is below the required number of writes. One
+    // commit of two writes is allowed then.
+    if (!write_bucket_.refill_and_check(now, min_commit_writes + reserved_writes) ||
+        !request_bucket_.refill_and_check(now, 1))
         return 0;
-    return static_cast<std::size_t>(std::max(min_commit_writes, writes_.tokens() - reserved_writes));
+    return static_cast<std::size_t>(std::max(min_commit_writes, write_bucket_.tokens() - reserved_writes));
 }
 
 Duration RequestBudget::time_until_writes(std::size_t count) const {
-    return std::max(writes_.time_until(static_cast<double>(count) + reserved_writes),
-                    requests_.time_until(1));
+    return std::max(write_bucket_.time_until(static_cast<double>(count) + reserved_writes),
+                    request_bucket_.time_until(1));
 }
 
 double RequestBudget::write_load(SteadyTime now) {
     add_recent_writes(now, 0);
-    return recent_writes_ / (writes_.rate() * write_load_window_s);
+    return recent_writes_ / (write_bucket_.refill_rate_per_s() * write_load_window_s);
 }
 
 void RequestBudget::add_recent_writes(SteadyTime now, double count) {
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -46,13 +46,13 @@
 }
 
 void RequestQueue::complete_unsent(Reply done, HttpResponse response) {
-    ++counts_.load_shed;
+    ++counts_.unsent_requests;
     env_.after(Duration(0), [done = std::move(done), response = std::move(response)] { done(response); });
 }
 
 void RequestQueue::dispatch() {
     const SteadyTime now = env_.now();
-    for (std::size_t i = 0; i < priority_count; ++i) dispatch(static_cast<RequestPriority>(i), now);
+    for (std::size_t i = 0; i < request_priority_count; ++i) dispatch(static_cast<RequestPriority>(i), now);
 }
 
 void RequestQueue::dispatch(RequestPriority priority, SteadyTime now) {
@@ -64,13 +64,13 @@
             queue.pop_front();
             continue;
         }
-        if (const auto wait = budget_.take_or_wait(now, priority, next.request.writes)) {
+        if (const auto wait = budget_.take_or_wait(now, priority, next.request.write_count)) {
             // Requests of lower priorities may still be sent: reads need no write budget, and users' reads
             // have a reserved share.
             return schedule_dispatch(*wait);
         }
-        ++counts_.requests[index_of(priority)];
-        counts_.writes[index_of(priority)] += static_cast<std::uint64_t>(next.request.writes);
+        ++counts_.sent_requests[index_of(priority)];
+        counts_.sent_writes[index_of(priority)] += static_cast<std::uint64_t>(next.request.write_count);
         Request request = std::move(next.request);
         queue.pop_front();
         send(std::move(request));
@@ -86,30 +86,31 @@
 }
 
 void RequestQueue::send(Request request) {
-    env_.http(settings_.state, std::move(request.http), request.timeout,
-              [this, writes = request.writes, done = std::move(request.done)](HttpResponse response) {
-                  on_response(writes, response);
-                  done(std::move(response));
-                  dispatch();
-              });
+    env_.http(
+        settings_.state, std::move(request.http), request.timeout,
+        [this, write_count = request.write_count, done = std::move(request.done)](HttpResponse response) {
+            on_response(write_count, response);
+            done(std::move(response));
+            dispatch();
+        });
 }
 
-void RequestQueue::on_response(double writes, const HttpResponse& response) {
+void RequestQueue::on_response(double write_count, const HttpResponse& response) {
     if (store_protocol::is_unavailable(response))
         reachability_.record_failure(env_.now(), response.status);
     else
         reachability_.record_success();
     if (!store_protocol::is_rate_limited(response)) return;
-    ++counts_.rate_limited;
-    budget_.drain(writes);
+    ++counts_.rate_limited_requests;
+    budget_.drain(write_count);
 }
 
 void RequestQueue::send_watch(HttpRequest http, Duration timeout, Reply done) {
     budget_.take_unconditionally(env_.now());
-    ++counts_.watches;
+    ++counts_.watch_requests;
     env_.http(settings_.state, std::move(http), timeout,
               [this, done = std::move(done)](HttpResponse response) {
-                  counts_.watch_bytes += response.body.size();
+                  counts_.watch_response_bytes += response.body.size();
                   done(std::move(response));
               });
 }
--- a/src/store/request_queue.h
+++ b/src/store/request_queue.h
@@ -38,18 +38,19 @@
   public:
     struct Request {
         HttpRequest http;
-        /// Number of records that the request writes, charged to the write budget.
-        double writes = 0;
+        /// Number of records that the request writes, which is taken from the write budget.
+        double write_count = 0;
         /// Maximum time from sending the request to its response.
         Duration timeout;
         Reply done;
     };
-    /// Counters since the start of the process.
+    /// Totals of this node's requests to the key-value store since the process started.
     struct Counts {
-        std::array<std::uint64_t, priority_count> requests{}, writes{};
-        std::uint64_t watches = 0, watch_bytes = 0;
-        std::uint64_t rate_limited = 0;  ///< requests that the store rejected with status 429
-        std::uint64_t load_shed = 0;     ///< requests that this node completed without sending them
+        /// Requests sent, and the writes in them, indexed by priority.
+        std::array<std::uint64_t, request_priority_count> sent_requests{}, sent_writes{};
+        std::uint64_t watch_requests = 0, watch_response_bytes = 0;
+        std::uint64_t rate_limited_requests = 0;  ///< requests that the store rejected with status 429
+        std::uint64_t unsent_requests = 0;        ///< requests that this node completed without sending them
     };
 
     /// `env` and `settings` must outlive the queue.
@@ -75,13 +76,13 @@
     void schedule_dispatch(Duration delay);
     void complete_unsent(Reply done, HttpResponse response);
     void send(Request request);
-    void on_response(double writes, const HttpResponse& response);
+    void on_response(double write_count, const HttpResponse& response);
 
     Env& env_;
     const Settings& settings_;
     RequestBudget budget_;
     StoreReachability reachability_;
-    std::array<std::deque<QueuedRequest>, priority_count> queues_;
+    std::array<std::deque<QueuedRequest>, request_priority_count> queues_;
     Env::TimerId dispatch_timer_ = 0;  // timer of the next dispatch; 0 if none is scheduled
     Counts counts_;
 };
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -48,12 +48,12 @@
 
 bool StateCache::has_pending_tasks() const {
     return std::any_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
-        return !entry.second.cancelled && entry.second.pending() > 0;
+        return !entry.second.cancelled && entry.second.pending_tasks() > 0;
     });
 }
 
 std::optional<std::string> StateCache::required_zone(const Job& job) const {
-    const bool may_change_zone = job.spec.one_zone && !job.spec.zone && job.placed == 0 &&
+    const bool may_change_zone = job.spec.one_zone && !job.spec.zone && job.placed_tasks == 0 &&
                                  zone_change_page_count(job) <= max_pages_for_zone_change;
     return may_change_zone ? std::nullopt : job.assigned_zone;
 }
@@ -107,44 +107,44 @@
     if (!versions_.update_if_newer(update)) return;
     const keys::ParsedKey key = keys::parse(std::string_view(update.key));
     switch (key.kind) {
-        case keys::Kind::job:
+        case keys::RecordKind::job:
             apply_job(key.job(), update);
             break;
-        case keys::Kind::standard_page:
-        case keys::Kind::small_page:
+        case keys::RecordKind::standard_page:
+        case keys::RecordKind::small_page:
             apply_page(key, update);
             break;
-        case keys::Kind::supported_format_level:
-        case keys::Kind::fleet_format:
+        case keys::RecordKind::supported_format_level:
+        case keys::RecordKind::fleet_format:
             apply_format_level(key, update);
             break;
-        case keys::Kind::node:
-        case keys::Kind::shard:
-        case keys::Kind::autoscaler:
+        case keys::RecordKind::node:
+        case keys::RecordKind::shard:
+        case keys::RecordKind::autoscaler:
             apply_membership(key, update);
             break;
-        case keys::Kind::team_lock:
+        case keys::RecordKind::team_lock:
             if (update.value)
                 team_quotas_.set_lock_holder(key.team(), records::decode_team_lock_holder(*update.value));
             break;
-        case keys::Kind::machine_type_list:
+        case keys::RecordKind::machine_type_list:
             if (!update.value) break;
             if (auto types = wire::types_from_json(*update.value)) machine_types_ = std::move(*types);
             break;
-        case keys::Kind::final_state:
-        case keys::Kind::other:
+        case keys::RecordKind::final_state:
+        case keys::RecordKind::other:
             break;
     }
     if (!update.value) versions_.drop_deleted(applied_revision);
 }
 
 void StateCache::apply_membership(const keys::ParsedKey& key, const KeyUpdate& update) {
-    if (key.kind == keys::Kind::node) {
+    if (key.kind == keys::RecordKind::node) {
         if (update.value)
             membership_.set_live_node(key.node(), update.version);
         else
             membership_.remove_live_node(key.node());
-    } else if (key.kind == keys::Kind::shard) {
+    } else if (key.kind == keys::RecordKind::shard) {
         if (update.value && key.number)
             membership_.set_shard(*key.number, {records::decode_shard_leader(*update.value), update.version});
     } else {
@@ -158,7 +158,7 @@
     if (!update.value) return;
     const std::optional<std::uint32_t> level = records::decode_format_level(*update.value);
     if (!level) return;
-    if (key.kind == keys::Kind::fleet_format)
+    if (key.kind == keys::RecordKind::fleet_format)
         format_levels_.raise_fleet_level(*level);
     else
         format_levels_.set_supported_level(key.node(), *level);
@@ -178,8 +178,8 @@
     const bool is_resized = job.version != Revision{} && job.small_page_size != decoded->small_page_size;
     decoded->pages = std::move(job.pages);
     decoded->frozen_pages = std::move(job.frozen_pages);
-    decoded->placed = job.placed;
-    decoded->done = job.done;
+    decoded->placed_tasks = job.placed_tasks;
+    decoded->done_tasks = job.done_tasks;
     job = std::move(*decoded);
     job.version = update.version;
     if (is_resized) {
@@ -234,7 +234,7 @@
         return;
     }
     orphaned_pages_.remove(update.key);
-    if (key.number && key.kind == keys::Kind::standard_page)
+    if (key.number && key.kind == keys::RecordKind::standard_page)
         apply_standard_page(found->second, *key.number, update);
     else if (key.number)
         apply_small_page(found->second, *key.number, update);
@@ -276,15 +276,15 @@
         update_placement(job, first + static_cast<TaskIndex>(i),
                          i < page.tasks.size() ? page.tasks[i] : unplaced,
                          i < tasks.size() ? tasks[i] : unplaced, version);
-    const TaskIndex placed_before = page.placed;
-    const TaskIndex done_before = page.done;
+    const TaskIndex placed_before = page.placed_tasks;
+    const TaskIndex done_before = page.done_tasks;
     page.tasks = std::move(tasks);
     page.version = version;
     page.update_counts();
-    job.placed += page.placed - placed_before;
-    job.done += page.done - done_before;
+    job.placed_tasks += page.placed_tasks - placed_before;
+    job.done_tasks += page.done_tasks - done_before;
     team_quotas_.add_placed(job.spec.team, job.spec.need,
-                            std::int64_t{page.placed} - std::int64_t{placed_before});
+                            std::int64_t{page.placed_tasks} - std::int64_t{placed_before});
 }
 
 // Updates the index by machine after a task's state has changed. If the task moved, the observer is notified
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -11,8 +11,8 @@
 namespace {
 constexpr Duration request_timeout = std::chrono::milliseconds(1500);
 constexpr Duration list_timeout = std::chrono::seconds(4);
-// How long the store may delay a watch response. Short, because each response advances the cancellation
-// watermark.
+// How long the store may delay a watch response. The delay is short, because each response advances the
+// cancellation watermark.
 constexpr Duration max_watch_wait = std::chrono::seconds(2);
 // Time allowed for a watch response in addition to the time for which the store may delay it.
 constexpr Duration watch_response_timeout = std::chrono::seconds(5);
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -47,7 +47,7 @@
     /// Returns the time until `count` writes may be sent. Call `available_writes` first, which refills the
     /// budget.
     [[nodiscard]] Duration time_until_writes(std::size_t count);
-    /// Returns the recently spent fraction of this node's write budget, from 0 to about 1.
+    /// Returns which fraction of this node's write budget was spent recently, from 0 to about 1.
     [[nodiscard]] double write_load();
     /// Returns whether a transaction is within the stricter of the store's current limits and the announced
     /// next ones.
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -12,14 +12,15 @@
 
 using wire::Json;
 
-/// Priority of a request when the request budget is short, the most urgent first.
+/// Priorities of requests to the key-value store, ordered from the most to the least urgent. They decide
+/// which requests are sent first when the request budget is short.
 enum class RequestPriority : std::uint8_t {
-    lease,     ///< session leases, records of nodes, leaders and machine types, lists of the state
-    report,    ///< commits of task ends that workers reported, of job records, team locks and format levels
-    decision,  ///< commits of placements and of relay changes
-    user       ///< requests on behalf of users, and deletions of orphaned pages
+    lease,     ///< for session leases, records of nodes, leaders and machine types, and lists of all records
+    report,    ///< for commits of task ends, and for records of jobs, team locks and format levels
+    decision,  ///< for commits of task starts and of relay changes
+    user       ///< for requests on behalf of users, and for deletions of orphaned pages
 };
-constexpr std::size_t priority_count = 4;
+constexpr std::size_t request_priority_count = 4;
 
 /// Result of a request to the key-value store.
 enum class Outcome : std::uint8_t {
@@ -90,7 +91,7 @@
     /// Whether a watch failed because the store has discarded changes after the requested revision; the
     /// caller must list all records again.
     bool is_compacted = false;
-    /// The store's revision that the items reflect.
+    /// The revision of the store's state that the items were read from.
     Revision revision;
 };
 /// Result of requesting a lease.
--- a/src/store/team_quotas.h
+++ b/src/store/team_quotas.h
@@ -8,7 +8,7 @@
 
 namespace zincdyke {
 
-/// Resources used by a team's placed tasks, in thousandths of a CPU and of a GPU.
+/// Resources used by a team's placed tasks: `cpu` in thousandths of a CPU, `gpu` in thousandths of a GPU.
 struct QuotaUsage {
     std::int64_t cpu = 0, gpu = 0;
 };
--- a/src/store/token_bucket.h
+++ b/src/store/token_bucket.h
@@ -7,15 +7,16 @@
 
 namespace zincdyke {
 
-/// Limits spending to `rate()` units per second, with a capacity of one second's worth. The bucket is full at
-/// its first refill. The times passed to its functions must not decrease.
+/// Holds tokens, which are added at a constant rate and taken to send requests or writes. The capacity is the
+/// number of tokens that are added in one second. The bucket is full at its first refill. The times passed to
+/// its functions must not decrease.
 class TokenBucket {
   public:
-    /// Sets the number of units per second, which must be above 0. Keeps the tokens in the bucket.
-    void set_rate(double units_per_s) { rate_ = units_per_s; }
-    [[nodiscard]] double rate() const { return rate_; }
-    /// Refills the bucket and returns whether `amount` may be taken now. An amount above the bucket's
-    /// capacity may be taken when the bucket is full, and leaves a negative balance.
+    /// Sets how many tokens are added per second, which must be above 0. Keeps the tokens in the bucket.
+    void set_refill_rate(double units_per_s) { refill_rate_per_s_ = units_per_s; }
+    [[nodiscard]] double refill_rate_per_s() const { return refill_rate_per_s_; }
+    /// Refills the bucket and returns whether `amount` tokens may be taken now. An amount above the bucket's
+    /// capacity may be taken when the bucket is full; the balance is negative afterwards.
     [[nodiscard]] bool refill_and_check(SteadyTime now, double amount);
     /// Adds the tokens earned since the last refill, up to the bucket's capacity.
     void refill(SteadyTime now);
@@ -23,13 +24,13 @@
     void take(double amount) { tokens_ -= amount; }
     /// Discards the tokens in the bucket. A negative balance stays.
     void drain() { tokens_ = std::min(tokens_, 0.0); }
-    /// The current balance; negative if more was taken than the bucket held.
+    /// The number of tokens in the bucket; negative if more were taken than it held.
     [[nodiscard]] double tokens() const { return tokens_; }
-    /// Returns how long after the last refill `amount` may be taken; at least 2 ms.
+    /// Returns how long after the last refill `amount` tokens may be taken; at least 2 ms.
     [[nodiscard]] Duration time_until(double amount) const;
 
   private:
-    double rate_ = 1, tokens_ = 0;
+    double refill_rate_per_s_ = 1, tokens_ = 0;
     std::optional<SteadyTime> last_refill_;
 };
 
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -96,7 +96,7 @@
 std::vector<const Job*> PlacementScorer::jobs_with_precedence(const Job& job) const {
     std::vector<const Job*> preceding_jobs;
     for (const auto& [id, other] : state_cache_.jobs()) {
-        if (other.spec.shape == wire::Shape::gang || other.cancelled || other.pending() == 0 ||
+        if (other.spec.shape == wire::Shape::gang || other.cancelled || other.pending_tasks() == 0 ||
             id == job.spec.id)
             continue;
         if (has_precedence(other, job) && state_cache_.fits_team_quota(other.spec.team, other.spec.need, 1))
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -6,11 +6,11 @@
 namespace zincdyke::testing {
 namespace {
 
-using keys::Kind;
+using keys::RecordKind;
 
 struct KeyCase {
     std::string key;
-    Kind kind;
+    RecordKind kind;
     std::string name;
     std::optional<std::uint32_t> number;
 };
@@ -18,24 +18,24 @@
 TEST(Keys, AreReadBack) {
     const JobId job("job-7");
     const KeyCase cases[] = {
-        {keys::job(job), Kind::job, "job-7", {}},
-        {keys::page(job, 12), Kind::standard_page, "job-7", 12},
-        {keys::small_page(job, 3), Kind::small_page, "job-7", 3},
-        {keys::final_state(job), Kind::final_state, "job-7", {}},
-        {keys::node(NodeName("n1")), Kind::node, "n1", {}},
-        {keys::shard(4), Kind::shard, "", 4},
-        {keys::team_lock(TeamName("blue")), Kind::team_lock, "blue", {}},
-        {keys::supported_format_level(NodeName("n1")), Kind::supported_format_level, "n1", {}},
-        {keys::fleet_format_level, Kind::fleet_format, "", {}},
-        {keys::autoscaler_leader, Kind::autoscaler, "", {}},
-        {keys::machine_types, Kind::machine_type_list, "", {}},
+        {keys::job(job), RecordKind::job, "job-7", {}},
+        {keys::page(job, 12), RecordKind::standard_page, "job-7", 12},
+        {keys::small_page(job, 3), RecordKind::small_page, "job-7", 3},
+        {keys::final_state(job), RecordKind::final_state, "job-7", {}},
+        {keys::node(NodeName("n1")), RecordKind::node, "n1", {}},
+        {keys::shard(4), RecordKind::shard, "", 4},
+        {keys::team_lock(TeamName("blue")), RecordKind::team_lock, "blue", {}},
+        {keys::supported_format_level(NodeName("n1")), RecordKind::supported_format_level, "n1", {}},
+        {keys::fleet_format_level, RecordKind::fleet_format, "", {}},
+        {keys::autoscaler_leader, RecordKind::autoscaler, "", {}},
+        {keys::machine_types, RecordKind::machine_type_list, "", {}},
     };
     for (const KeyCase& expected : cases) {
         const keys::ParsedKey parsed = keys::parse(std::string_view(expected.key));
         EXPECT_EQ(parsed.kind, expected.kind) << expected.key;
         EXPECT_EQ(parsed.name, expected.name) << expected.key;
         EXPECT_EQ(parsed.number, expected.number) << expected.key;
-        EXPECT_EQ(keys::is_watched(expected.key), expected.kind != Kind::final_state) << expected.key;
+        EXPECT_EQ(keys::is_watched(expected.key), expected.kind != RecordKind::final_state) << expected.key;
     }
 }
 
@@ -49,7 +49,7 @@
 
 TEST(Keys, OfOtherVersionsAreLeftAlone) {
     for (const char* key : {"", "z", "z/", "z/s2", "z/k/1", "other"})
-        EXPECT_EQ(keys::parse(std::string_view(key)).kind, Kind::other) << key;
+        EXPECT_EQ(keys::parse(std::string_view(key)).kind, RecordKind::other) << key;
     for (const char* key : {"z/t/", "z/t/job", "z/r//3"}) EXPECT_TRUE(keys::job_of_page(key).empty()) << key;
     for (const char* key : {"z/t/job/", "z/t/job/x", "z/t/job/1x", "z/t/job/99999999999", "z/p/", "z/p/-1"})
         EXPECT_EQ(keys::parse(std::string_view(key)).number, std::nullopt) << key;
--- a/tests/page_layout_test.cpp
+++ b/tests/page_layout_test.cpp
@@ -72,7 +72,9 @@
     EXPECT_EQ(job.pages[0].tasks[0], placed("a"));
     EXPECT_EQ(job.pages[2].tasks[3], placed("b"));
     EXPECT_EQ(job.pages[3].tasks, std::vector<TaskState>(2));
-    EXPECT_EQ(job.pages[0].placed + job.pages[1].placed + job.pages[2].placed + job.pages[3].placed, 2U);
+    EXPECT_EQ(job.pages[0].placed_tasks + job.pages[1].placed_tasks + job.pages[2].placed_tasks +
+                  job.pages[3].placed_tasks,
+              2U);
 }
 
 TEST(PageLayout, NoPagesWrittenNoneFrozen) {
--- a/tests/placement_backoff_test.cpp
+++ b/tests/placement_backoff_test.cpp
@@ -20,7 +20,7 @@
     Job other = job;
     other.spec.job_class = "large";
     EXPECT_TRUE(backoff.may_start_round(job, now));
-    backoff.on_round_started(JobKind::of(job), now);
+    backoff.on_round_started(PlacementGroup::of(job), now);
     EXPECT_FALSE(backoff.may_start_round(job, now + millis(29)));
     EXPECT_TRUE(backoff.may_start_round(other, now));
     EXPECT_TRUE(backoff.may_start_round(job, now + millis(30)));
--- a/tests/request_budget_test.cpp
+++ b/tests/request_budget_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(TokenBucket, RefillsUpToOneSecondsWorth) {
     TokenBucket bucket;
-    bucket.set_rate(10);
+    bucket.set_refill_rate(10);
     EXPECT_TRUE(bucket.refill_and_check(at(0), 10));
     bucket.take(10);
     EXPECT_FALSE(bucket.refill_and_check(at(0), 1));
@@ -24,7 +24,7 @@
 
 TEST(TokenBucket, LargeRequestLeavesADebt) {
     TokenBucket bucket;
-    bucket.set_rate(2);
+    bucket.set_refill_rate(2);
     EXPECT_TRUE(bucket.refill_and_check(at(0), 6));
     bucket.take(6);
     EXPECT_DOUBLE_EQ(bucket.tokens(), -4);
@@ -34,7 +34,7 @@
 
 TEST(TokenBucket, DrainKeepsDebts) {
     TokenBucket bucket;
-    bucket.set_rate(2);
+    bucket.set_refill_rate(2);
     bucket.refill(at(0));
     bucket.drain();
     EXPECT_DOUBLE_EQ(bucket.tokens(), 0);
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -33,7 +33,7 @@
     m.apply(item(job));
     m.apply(item(page));
     ASSERT_NE(m.job(JobId(job_id(1))), nullptr);
-    EXPECT_EQ(m.job(JobId(job_id(1)))->placed, 2U);
+    EXPECT_EQ(m.job(JobId(job_id(1)))->placed_tasks, 2U);
     EXPECT_TRUE(m.orphaned_pages().empty());
 }
 
--- a/tests/transaction_builder_test.cpp
+++ b/tests/transaction_builder_test.cpp
@@ -159,7 +159,7 @@
     of_old_term.term = Term{6};
     EXPECT_FALSE(settled_as_committed(build({of_old_term})));
     // A peer's term may be newer than what this node has read, not older.
-    of_old_term.forwarded = ForwardedRequest{NodeName("n1"), 1};
+    of_old_term.forwarded_request = ForwardedRequest{NodeName("n1"), 1};
     EXPECT_FALSE(settled_as_committed(build({of_old_term})));
     PendingOperation of_new_term = of_old_term;
     of_new_term.term = Term{8};
@@ -172,7 +172,7 @@
     load();
     PendingOperation of_newer_term = start(1, "m2");
     of_newer_term.term = Term{8};
-    of_newer_term.forwarded = ForwardedRequest{NodeName("n1"), 1};
+    of_newer_term.forwarded_request = ForwardedRequest{NodeName("n1"), 1};
     const BuiltTransaction built = build({start(0, "m1"), of_newer_term});
     EXPECT_EQ(built.transaction.conditions.back().version, own_term);
     ASSERT_EQ(built.notices.size(), 1U);
@@ -192,7 +192,7 @@
     job_.spec.team = TeamName("limited");
     load();
     BuildContext context = this->context();
-    context.lock = TeamLockToken{TeamName("limited"), Revision{5}};
+    context.team_lock = TeamLockToken{TeamName("limited"), Revision{5}};
     const BuiltTransaction built =
         build({start(0, "m1"), start(1, "m1"), start(2, "m1")}, std::move(context));
     EXPECT_EQ(built.transaction.conditions.at(0).key, "z/q/limited");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -179,7 +179,7 @@
     const zincdyke::Job& j = m.job();
     const std::uint32_t size = j.small_page_size;
     ASSERT_EQ(size, 41U);
-    EXPECT_EQ(j.placed, 2U);
+    EXPECT_EQ(j.placed_tasks, 2U);
     EXPECT_EQ(m.model.task({m.id, 50}).machine, MachineId("host-000007"));
     EXPECT_EQ(m.model.task({m.id, 204}).machine, MachineId("host-000007"));
     // Tasks 164 to 204 were in both frozen pages.
@@ -205,7 +205,7 @@
     m.put_page(zincdyke::keys::page(m.id, 0), 0, 100, 5);
     EXPECT_EQ(m.model.task({m.id, 3}).status, TaskState::Status::placed);
     EXPECT_EQ(m.model.task({m.id, 5}).status, TaskState::Status::pending);
-    EXPECT_EQ(m.job().placed, 1U);
+    EXPECT_EQ(m.job().placed_tasks, 1U);
 }
 
 TEST(Upgrade, RecordOfAnUnknownLayoutIsNotChanged) {
