--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -10,7 +10,7 @@
 
 CloudClient::CloudClient(Env& env, const Settings& settings) : env_(env), settings_(settings) {
     // The client stays 10% below the cloud's rate limit, so that the cloud does not reject its requests.
-    rate_limit_.set_rate(std::max(0.1, settings.cloud_rps * 0.9));
+    rate_limit_.set_refill_rate(std::max(0.1, settings.cloud_rps * 0.9));
 }
 
 void CloudClient::enqueue_request(HttpRequest request, Reply done) {
