--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -13,8 +13,7 @@
 // Closing a job takes two writes in one transaction: its record is deleted and its final state is stored.
 constexpr double min_txn_ops = 2;
 
-// Throws a SettingsError for `key`, which is missing or has an invalid value. `rule` describes the valid
-// values.
+// Throws a SettingsError for a missing or invalid value under `key`. `rule` describes the valid values.
 [[noreturn]] void reject(const toml::table& root, const std::string& key, const std::string& rule) {
     const auto code =
         root.at_path(key) ? SettingsError::Code::invalid_value : SettingsError::Code::missing_key;
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -99,7 +99,7 @@
         ram -= other.ram;
         return *this;
     }
-    /// Returns whether each amount is at least the required one.
+    /// Returns whether these resources are sufficient for `required`.
     bool covers(const Resources& required) const {
         return required.cpu <= cpu && required.gpu <= gpu && required.ram <= ram;
     }
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -102,7 +102,7 @@
     void operator()(std::vector<T>& elements) {
         std::uint32_t count = 0;
         (*this)(count);
-        // Every element takes at least two bytes, so that a larger count is invalid. Checking it first
+        // An encoded element takes at least two bytes. Checking the element count against the remaining input
         // prevents a corrupt frame from allocating much memory.
         if (!ok || count > input_.size() / 2) {
             ok = false;
@@ -327,7 +327,7 @@
         if (kind != I) return decode_kind<I + 1>(kind, reader);
         std::variant_alternative_t<I, PeerMessage> message;
         reader(message);
-        // Remaining bytes mean that the sender encoded a different layout.
+        // Remaining bytes after the last field mean that the sender used a different layout.
         if (!reader.ok || !reader.at_end()) return std::nullopt;
         return PeerMessage(std::move(message));
     }
