--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -7,8 +7,8 @@
 namespace zincdyke::wire {
 namespace {
 
-// Converts an amount to thousandths. Required amounts are rounded up and available amounts are rounded down, so that
-// rounding never makes the tasks on a machine exceed its capacity.
+// Converts an amount to thousandths. Required amounts are rounded up and available amounts are rounded down,
+// so that rounding never makes the tasks on a machine exceed its capacity.
 std::int64_t thousandths_rounded_up(double number) {
     return static_cast<std::int64_t>(std::ceil(number * 1000 - 1e-6));
 }
