--- a/tests/fakes/simulated_deployment.h
+++ b/tests/fakes/simulated_deployment.h
@@ -46,12 +46,12 @@
     int next_max_operations = 0;
     double memory_mb = 56;  ///< Memory limit of a controller process.
     int max_sockets = 900;
-    std::size_t list_page_size =
-        7;                       ///< Items per page of the store's lists; small, so that tests cover paging.
+    /// Items per page of the store's lists; small, so that tests cover paging.
+    std::size_t list_page_size = 7;
     double worker_tick_s = 0.1;  ///< Interval between a worker's checks of its lease and heartbeat.
     /// Numbers of the controllers that run the production version until they are upgraded.
     std::set<int> production_controllers;
-    /// Records all messages; null: none. Must outlive the deployment.
+    /// Recorder of all messages; null: messages are not recorded. Must outlive the deployment.
     MessageRecorder* recorder = nullptr;
 };
 
--- a/tests/fakes/task_runner.h
+++ b/tests/fakes/task_runner.h
@@ -27,7 +27,7 @@
     /// Executes a leader's commands, given as the JSON array of the protocol: start a task, stop it, or
     /// remove an ended one.
     void execute(FakeWorker& worker, const Json& commands);
-    /// Removes all tasks of a worker without a report, as after a machine crash or a lease expiry.
+    /// Removes all tasks of a worker without reporting them to its leader, as after a crash or lease expiry.
     void drop_all(FakeWorker& worker);
     /// Returns the number of the job's tasks that have completed successfully.
     [[nodiscard]] std::size_t completed_tasks(const std::string& job) { return completed_tasks_[job].size(); }
