--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -19,12 +19,12 @@
 // More frequent reads would return little new data.
 constexpr double min_list_interval_s = 2, calls_per_list = 2, lists_per_lag = 3;
 
-// From now on, a running task is expected to run for this share of its estimated total run time, but at least
-// for `min_remaining_run_s`.
+// A running task is expected to run on for this share of its estimated total run time, but at least for
+// `min_remaining_run_s`.
 constexpr double remaining_run_share = 0.7, min_remaining_run_s = 3;
 // Plans expect a running machine without a heartbeat to be available after this time.
 constexpr double assumed_heartbeat_delay_s = 1;
-// A running machine from which no heartbeat has been received for longer is left out of plans.
+// Plans do not use a running machine from which no heartbeat has been received for longer than this.
 constexpr double max_usable_without_heartbeat_s = 5;
 // A running machine that never sent a heartbeat is terminated after the duration of a lease, the policy's
 // `silent_grace_s` and this margin.
@@ -64,7 +64,7 @@
     const SteadyTime now = env_.now();
     for (const auto& machine : heartbeat.machines) {
         // Reports from controllers other than the shard's leader are ignored: after a network partition, a
-        // former leader may still report machines that it no longer leads as silent.
+        // former leader may report machines as silent that it no longer leads.
         if (state_cache_.shards()[state_cache_.shard_of(machine.id)].leader != from) continue;
         if (!inventory_.was_terminated(machine.id)) {
             inventory_.record_report(from, machine, now);
@@ -186,8 +186,8 @@
     const std::string key = *state_cache_.orphaned_pages().begin();
     const JobId id = keys::job_of_page(key);
     Transaction txn;
-    // The condition requires that the record of the live job does not exist. The job also has a final record,
-    // so its live record cannot be created again.
+    // The transaction's condition requires that the job has no live record. The job has a final record, so a
+    // live record cannot be created for it again.
     txn.conditions.push_back({keys::job(id), Revision{}});
     txn.writes.push_back({key, std::nullopt, std::nullopt});
     is_deleting_page_ = true;
@@ -266,9 +266,9 @@
 }
 
 // Adds the capacity of a machine that the cloud lists as running but whose leader reports no heartbeat, for
-// example shortly after an election. Returns false if the plan must not use the machine, because it has been
-// without a heartbeat for several seconds. Adds a machine that has never sent one to `faulty` after a
-// further grace period.
+// example shortly after an election. Returns false if the machine has been without a heartbeat for so long
+// that the plan must not use it. If the machine has never sent a heartbeat, it is added to `faulty` after a
+// further grace period, to be terminated.
 bool Autoscaler::add_capacity_of_unreported_machine(autoscaler::MachineBin& bin,
                                                     autoscaler::ProvisionedMachine& machine,
                                                     const wire::MachineType& type, FaultyMachines& faulty,
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -8,11 +8,11 @@
 namespace zincdyke::autoscaler {
 namespace {
 constexpr double no_objective_s = 1e9;
-// Standby machines are kept for a job class whose objective for the wait until a start is at most this
-// multiple of a machine's boot time.
+// Standby machines are kept for a job class if its wait objective, the target for how long its tasks wait for
+// their start, is at most this multiple of a machine's boot time.
 constexpr double max_standby_objective_boot_times = 1.5;
-// On a machine that is reserved for a job class, only tasks that can save a checkpoint within this share of
-// the class's wait objective, and within `max_save_s`, are preempted without loss of work.
+// Tasks on a reserved machine may be preempted if they can save a checkpoint in time: within this share of
+// the job class's wait objective, and within `max_save_s`.
 constexpr double max_save_share_of_objective = 0.4, max_save_s = 10;
 // Capacity on machines that cache a container image is reserved for a service class only if at least this
 // share of the class's recent demand uses the image.
@@ -26,10 +26,10 @@
 // first.
 constexpr double runs_class_cost = 0;
 constexpr double being_preempted_cost = 0.5;
-constexpr double idle_cost = 2;  // the share of cached images (0 to 1) is subtracted
+constexpr double idle_cost = 2;  // minus the share of the demanded images that are cached
 constexpr double idle_reserved_discount = 0.1;
 constexpr double busy_reserved_cost = 3,
-                 busy_cost = 4;  // the preemption cost in seconds is added to both
+                 busy_cost = 4;  // the preemption cost in seconds is added to these costs
 constexpr double not_preemptible_cost = 1e6;
 }  // namespace
 
@@ -136,8 +136,8 @@
     return startable;
 }
 
-// Returns the machines that are free now for at least one task of the job class, with the machines that cache
-// the most demanded images first.
+// Returns the machines that have free capacity for at least one task of the job class now. Machines that
+// cache the most demanded images come first.
 std::vector<ReservationCandidate> ClassReservations::candidates_with_free_capacity(
     const ArrivalStatistics& arrivals) {
     const wire::JobSpec& spec = arrivals.latest_spec();
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -5,7 +5,7 @@
 
 namespace zincdyke::autoscaler {
 namespace {
-constexpr double reservation_delay_s = 8;        // machines are reserved for a gang that waits longer
+constexpr double reservation_delay_s = 8;        // machines are reserved for gangs that wait longer than this
 constexpr std::size_t max_reserved_divisor = 4;  // at most 1/4 of all machines is reserved for gangs
 constexpr double previously_reserved_cost = -1;  // other machines' costs are times, at least 0
 
--- a/src/autoscaler/inventory.cpp
+++ b/src/autoscaler/inventory.cpp
@@ -64,7 +64,7 @@
     machine.spot = listed.spot;
     machine.last_listed_at = now;
     machine.address = listed.address;
-    // The cloud's list lags, so it may still contain the phase from before the machine's first heartbeat.
+    // The cloud's machine list lags, so it may still contain the machine's phase before its first heartbeat.
     if (!machine.has_sent_heartbeat || listed.phase == wire::MachinePhase::failed)
         machine.phase = listed.phase;
 }
--- a/src/autoscaler/plan.h
+++ b/src/autoscaler/plan.h
@@ -57,7 +57,7 @@
     std::size_t max_new_machines = 50;
 };
 
-/// The result of capacity planning.
+/// The machines to provision, and the existing machines that must be kept, for the waiting tasks.
 struct Plan {
     std::map<MachineKind, std::uint32_t>
         new_machines;                     ///< Number of machines to provision, by kind of machine.
--- a/src/autoscaler/provisioner.h
+++ b/src/autoscaler/provisioner.h
@@ -18,7 +18,7 @@
 
 namespace zincdyke::autoscaler {
 
-/// The reason why a machine is terminated.
+/// Why the autoscaler terminates a machine, as written to the log.
 enum class TerminationReason : std::uint8_t { idle, silent, slow_boot, failed };
 
 /// Requests the provisioning and the termination of machines from the cloud, and tracks pending requests.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -24,7 +24,7 @@
 // than `max_memory_bytes`. `user_data` points to the interpreter's MemoryUsage.
 void* allocate_limited(void* user_data, void* old_block, std::size_t old_size, std::size_t new_size) {
     auto* usage = static_cast<MemoryUsage*>(user_data);
-    // If there is no old block, `old_size` is not a size: Lua passes the type of the new object in it.
+    // If there is no old block, Lua passes the type of the new object as `old_size`.
     std::size_t old_bytes = old_block != nullptr ? old_size : 0;
     if (new_size == 0) {
         usage->used_bytes -= old_bytes;
@@ -87,8 +87,7 @@
     if (!lua_istable(lua, -1))
         throw PolicyError(Code::not_a_table, "", name + ": must return a table of settings");
     Policy policy;
-    // The loop must not assign to fields of the table, because that would disturb lua_next. lua_next reads
-    // the table directly, without calling its metamethods.
+    // The loop must not assign to the table's fields: that would disturb lua_next.
     for (lua_pushnil(lua); lua_next(lua, -2) != 0; lua_pop(lua, 1)) {
         if (lua_type(lua, -2) != LUA_TSTRING)
             throw PolicyError(Code::unknown_setting, "", name + ": keys must be names of settings");
