--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -114,10 +114,10 @@
     queue_.reschedule_or_remove(key);
 }
 
-// Requeues the operations of a transaction that failed or had an unknown outcome. The next transaction has
-// the same record versions as conditions, or newer ones, so the store can execute at most one of the two.
-// After an unknown outcome, a team's starts also wait for a new fencing token: then the store can't execute
-// the old starts after the team's quota usage was computed without them.
+// Requeues the operations of a transaction that failed or had an unknown outcome. The next transaction's
+// conditions name the same or newer record versions, so the store can execute at most one of the two. After
+// an unknown outcome, a team's task starts also wait for a new fencing token. Otherwise, the store could
+// still execute the old starts after the team's quota usage was computed without them.
 void CommitExecutor::on_not_committed(const CommitQueueKey& key, BuiltTransaction& built,
                                       const CommitResult& result) {
     if (result.outcome == Outcome::conflict) ++counts_.transaction_conflicts;
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -11,8 +11,8 @@
 
 namespace zincdyke {
 namespace {
-// No more pages are added to a transaction once its page records exceed this size. It is well below the
-// store's limit of 64 KiB for a transaction.
+// No more pages are added to a transaction once the total size of its page records exceeds this limit. It is
+// well below the store's limit of 64 KiB for a transaction.
 constexpr std::size_t max_total_record_bytes = std::size_t{48} * 1024;
 constexpr std::size_t max_frozen_pages_per_page = 2;  // frozen pages that contain tasks of one small page
 constexpr std::size_t max_writes_per_page = 3;        // a page record, and two records of a finished job
