--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -58,12 +58,12 @@
             {"failed_placements", relay.counts().failed_placements}};
 }
 
-Json start_time_counts(const StartTimes& times) {
+Json start_time_counts(const StartDurationHistograms& times) {
     Json by_class = Json::object();
     for (const auto& [job_class, steps] : times.by_class())
         for (std::size_t i = 0; i < steps.size(); ++i)
             by_class[job_class][step_name(static_cast<StartStep>(i))] = steps[i];
-    return {{"bounds_s", StartTimes::bucket_bounds_s}, {"by_class", std::move(by_class)}};
+    return {{"bounds_s", StartDurationHistograms::bucket_bounds_s}, {"by_class", std::move(by_class)}};
 }
 
 }  // namespace
@@ -81,7 +81,7 @@
                 {"store_requests", store_counts(sources.store)},
                 {"workers", worker_counts(sources.workers)},
                 {"placement_rounds", round_counts(sources.relay, sources.gatherer)},
-                {"start_times", start_time_counts(sources.workers.start_times())},
+                {"start_times", start_time_counts(sources.workers.start_durations())},
                 {"shards", shard_list(sources.state_cache)}}
         .dump();
 }
--- a/src/cluster/autoscaler_election.cpp
+++ b/src/cluster/autoscaler_election.cpp
@@ -13,7 +13,7 @@
                                        const StateCache& state_cache, const Membership& membership)
     : env_(env), settings_(settings), store_(store), state_cache_(state_cache), membership_(membership) {}
 
-bool AutoscalerElection::is_won() const { return state_cache_.autoscaler_leader() == settings_.node; }
+bool AutoscalerElection::is_elected() const { return state_cache_.autoscaler_leader() == settings_.node; }
 
 void AutoscalerElection::campaign_if_vacant(std::uint64_t session_lease_id) {
     const NodeName& leader = state_cache_.autoscaler_leader();
@@ -29,7 +29,7 @@
     store_.commit(txn, RequestPriority::lease, [this](const CommitResult& result) {
         if (result.outcome == Outcome::ok)
             log::info("event=autoscaler_leader_elected revision={}", result.revision.value());
-        state_ = State::cooling_down;
+        state_ = State::awaiting_watch;
         env_.after(cooldown_delay, [this] { state_ = State::idle; });
     });
 }
--- a/src/cluster/autoscaler_election.h
+++ b/src/cluster/autoscaler_election.h
@@ -27,15 +27,15 @@
     void campaign_if_vacant(std::uint64_t session_lease_id);
     /// Returns whether the state cache names this controller as autoscaler leader. The caller must also check
     /// that the session is open and the state cache is up to date before it acts as leader.
-    [[nodiscard]] bool is_won() const;
+    [[nodiscard]] bool is_elected() const;
 
   private:
     enum class State : std::uint8_t {
         idle,
         awaiting_result,
-        // The watch delivers the new leader record shortly after the commit response. No candidacy starts in
-        // between, because the state cache still shows no leader.
-        cooling_down
+        // The commit of the leader record has completed, but the watch may not have delivered the record yet.
+        // No candidacy starts meanwhile, because the state cache still shows no leader.
+        awaiting_watch
     };
     void campaign(std::uint64_t session_lease_id);
     Env& env_;
--- a/src/cluster/cancellation_watermark.h
+++ b/src/cluster/cancellation_watermark.h
@@ -38,14 +38,14 @@
     void on_acknowledgement(const NodeName& from, const wire::CancellationAck& ack);
 
     /// Returns whether a heartbeat response may renew a worker's lease: the key-value store has been read at
-    /// least once, and the current time is before `time() + renewal_window()`. Every response that renews a
-    /// lease must also stop the worker's tasks whose jobs are known to be cancelled.
+    /// least once, and the current time is before `watermark() + renewal_window()`. Every response that
+    /// renews a lease must also stop the worker's tasks whose jobs are known to be cancelled.
     [[nodiscard]] bool may_renew_leases() const;
-    /// Returns whether the cancellation watermark is more than 4 s old. Peers then list the cancellations
-    /// that they know in their acknowledgements.
+    /// Returns whether the cancellation watermark is more than 4 s old. If so, the acknowledgements from
+    /// peers list the cancellations that they know.
     [[nodiscard]] bool is_lagging() const;
     /// Returns the cancellation watermark; the zero time before the first read of the key-value store.
-    [[nodiscard]] SteadyTime time() const { return watermark_; }
+    [[nodiscard]] SteadyTime watermark() const { return watermark_; }
     /// Returns how long after the watermark worker leases may still be renewed. A worker renewed at the end
     /// of this window loses its lease, and kills its tasks, before `cancel_s` has passed since the watermark.
     /// The window is at least 3 s.
--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -33,7 +33,7 @@
 }
 
 bool ClusterCoordinator::is_autoscaler_leader() const {
-    return is_up_to_date() && session_keeper_.is_open() && autoscaler_election_.is_won();
+    return is_up_to_date() && session_keeper_.is_open() && autoscaler_election_.is_elected();
 }
 
 void ClusterCoordinator::on_membership_changed() {
@@ -43,7 +43,7 @@
 }
 
 void ClusterCoordinator::transfer_leadership(std::uint32_t shard) {
-    if (is_up_to_date()) shard_leadership_.transfer(shard, incarnation());
+    if (is_up_to_date()) shard_leadership_.transfer_leadership(shard, incarnation());
 }
 
 void ClusterCoordinator::review_leaderships() {
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -1,4 +1,4 @@
-/// Coordination of this controller with the others: its session, its state cache, and what it leads.
+/// Coordination of this controller with the others: its session, its state cache and its leaderships.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,7 +22,7 @@
 
 namespace zincdyke {
 
-/// The interface through which the rest of a controller queries cluster state and leadership.
+/// Provides the rest of a controller with the cluster's membership, the leaderships and fresh reads.
 ///
 /// It owns the classes that keep the session, the state cache and the leaderships current, and periodically
 /// claims the shards that this controller should lead. All of it runs on the event loop.
@@ -33,7 +33,8 @@
                        ClusterObserver& observer);
     /// Starts reading the key-value store and requests a session. Must be called exactly once.
     void start();
-    /// Must be called when the state cache reports a change of the live controllers or of a leader.
+    /// Recomputes this controller's share of the store budgets, and notifies the observer of newly acquired
+    /// shards. Must be called when the state cache reports a change of the live controllers or of a leader.
     void on_membership_changed();
 
     /// Returns whether the key-value store has been read completely at least once.
@@ -77,7 +78,7 @@
     [[nodiscard]] NodeName relay_of(const Job& job) const { return job_roles_.relay_of(job); }
     [[nodiscard]] NodeName committer_of(const Job& job) const { return job_roles_.committer_of(job); }
     void update_write_share(double own_demand, const std::map<NodeName, double>& peer_demands) {
-        write_budget_share_.update(own_demand, peer_demands);
+        write_budget_share_.recompute_shares(own_demand, peer_demands);
     }
     [[nodiscard]] Revision incarnation() const { return session_keeper_.incarnation(); }
 
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -9,7 +9,7 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration update_interval = std::chrono::milliseconds(500);
+constexpr Duration level_check_interval = std::chrono::milliseconds(500);
 
 std::string join(const std::vector<NodeName>& names) {
     std::string text;
@@ -27,7 +27,7 @@
       cluster_(cluster),
       all_nodes_(settings.all_nodes()) {}
 
-void FormatLevel::start() { update_level(); }
+void FormatLevel::start() { register_and_raise_level(); }
 
 std::vector<NodeName> FormatLevel::unregistered_nodes() const {
     std::vector<NodeName> missing;
@@ -41,8 +41,8 @@
     return missing;
 }
 
-void FormatLevel::update_level() {
-    env_.after(update_interval, [this] { update_level(); });
+void FormatLevel::register_and_raise_level() {
+    env_.after(level_check_interval, [this] { register_and_raise_level(); });
     if (!cluster_.is_up_to_date() || is_commit_in_flight_ ||
         state_cache_.fleet_format_level() >= highest_supported)
         return;
--- a/src/cluster/format_level.h
+++ b/src/cluster/format_level.h
@@ -35,7 +35,7 @@
     [[nodiscard]] std::vector<NodeName> unregistered_nodes() const;
 
   private:
-    void update_level();
+    void register_and_raise_level();
     void commit_level(const std::string& key, std::uint32_t level, const char* event);
     Env& env_;
     const Settings& settings_;
--- a/src/cluster/job_roles.h
+++ b/src/cluster/job_roles.h
@@ -20,7 +20,7 @@
     JobRoles(const Settings& settings, const StateCache& state_cache, const Membership& membership);
 
     /// Returns the controller that requests placements for the job's tasks: the one that accepted the job, or
-    /// a live controller picked by hash while that one is not alive.
+    /// a live controller picked by hash while the accepting controller is not alive.
     [[nodiscard]] NodeName relay_of(const Job& job) const;
     /// Returns the controller that should commit the job's task starts and ends: the job's relay, or for a
     /// team with resource limits one controller for all jobs of the team. Any controller may commit them;
--- a/src/cluster/pending_reads.cpp
+++ b/src/cluster/pending_reads.cpp
@@ -4,7 +4,8 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration read_timeout = std::chrono::milliseconds(1700);  // below the 2 s that users wait
+constexpr Duration read_timeout =
+    std::chrono::milliseconds(1700);  // shorter than the 2 s for which users wait
 constexpr std::size_t max_pending_reads = 2000;
 }  // namespace
 
--- a/src/cluster/pending_reads.h
+++ b/src/cluster/pending_reads.h
@@ -8,7 +8,8 @@
 
 namespace zincdyke {
 
-/// Callbacks of consistent reads, in the order in which they were added.
+/// Consistent reads in the order in which they were added. Each read waits until the state cache contains
+/// everything that was committed to the key-value store before the read was added.
 ///
 /// Reads are numbered consecutively. One response of the key-value store completes all reads that were added
 /// before the request was sent.
@@ -21,7 +22,7 @@
     /// Appends a read that starts at `now`; `done` is called exactly once.
     void add(SteadyTime now, Callback done);
     [[nodiscard]] bool empty() const { return reads_.empty(); }
-    /// Returns whether the maximum number of reads is waiting.
+    /// Returns whether the number of pending reads has reached its maximum.
     [[nodiscard]] bool is_full() const;
     /// Returns the number that the next added read will get. A response to a request sent now completes all
     /// reads with lower numbers.
--- a/src/cluster/session_keeper.h
+++ b/src/cluster/session_keeper.h
@@ -22,7 +22,7 @@
     SessionKeeper(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                   std::function<void()> on_lost);
 
-    /// Requests the first lease. Must be called exactly once.
+    /// Requests the first session lease. Must be called exactly once.
     void start();
     /// Writes the session record again. To be called if the record has been deleted from the key-value store
     /// although the session is open.
@@ -31,8 +31,8 @@
     /// Returns whether the session record has been written under the current lease and no loss of the lease
     /// has been noticed.
     [[nodiscard]] bool is_open() const;
-    /// Returns the id of the current lease, or of the previous one while a new lease is being requested; 0
-    /// before the first lease is granted.
+    /// Returns the id of the session's current lease, or of the previous lease while a new one is being
+    /// requested; 0 before the first lease is granted.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
     /// Returns a number unique to this process: the store revision at which it first wrote its session
     /// record; 0 before that.
@@ -48,7 +48,7 @@
         written,
         rewriting  // written, and another commit of the record is in flight
     };
-    // State transitions. No other function changes `lease_state_` or `record_state_`.
+    // Only the following six functions change `lease_state_` and `record_state_`.
     [[nodiscard]] bool begin_lease_request();
     void end_lease_request(std::uint64_t lease);
     [[nodiscard]] bool begin_record_write();
--- a/src/cluster/shard_leadership.cpp
+++ b/src/cluster/shard_leadership.cpp
@@ -111,7 +111,7 @@
     });
 }
 
-void ShardLeadership::transfer(std::uint32_t shard, Revision incarnation) {
+void ShardLeadership::transfer_leadership(std::uint32_t shard, Revision incarnation) {
     const auto peers = membership_.live_peers();
     if (peers.empty() || shard_states_[shard].record_write != RecordWrite::none) return;
     shard_states_[shard].record_write = RecordWrite::transferring;
@@ -119,7 +119,7 @@
     shard_states_[shard].transferred_at = env_.now();
     log::warn("event=shard_leadership_transferred shard={} to={} reason=no_heartbeats", shard,
               new_leader.value());
-    // The new leader finds itself in the record and claims the shard under its own term.
+    // The controller named in the leader record then claims the shard under its own term.
     write_leader(shard, new_leader, incarnation, [this, shard](const CommitResult&) {
         shard_states_[shard].record_write = RecordWrite::none;
     });
--- a/src/cluster/shard_leadership.h
+++ b/src/cluster/shard_leadership.h
@@ -34,7 +34,7 @@
     /// Writes another live controller into the shard's leader record; does nothing if there is no other live
     /// controller. The new leader then claims the shard under its own term. Must only be called while the
     /// state cache is up to date.
-    void transfer(std::uint32_t shard, Revision incarnation);
+    void transfer_leadership(std::uint32_t shard, Revision incarnation);
     /// Notifies the observer of each shard that this controller has started to lead since the last call. Must
     /// be called after changes of the state cache.
     void announce_changes();
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -32,14 +32,14 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void StateWatcher::start() {
-    load();
+    load_all_records();
     detect_stalls();
 }
 
 // The last stall check is compared with the current time, so that a stall is detected even before the overdue
 // timer has fired.
 bool StateWatcher::is_up_to_date() const {
-    return view_.is_current() && store_.reachable() && env_.now() - last_stall_check_ < stall_timeout;
+    return freshness_.is_current() && store_.reachable() && env_.now() - last_stall_check_ < stall_timeout;
 }
 
 void StateWatcher::detect_stalls() {
@@ -49,27 +49,28 @@
     last_stall_check_ = now;
     if (has_stalled) log::warn("event=process_stalled");
     reads_.expire(now);
-    if (view_.is_list_in_progress()) return;
+    if (freshness_.is_list_in_progress()) return;
     if (!store_.reachable() || has_stalled) {
-        view_.on_invalidated();
-    } else if (view_.begin_catch_up()) {
-        // The watch in flight may still hang because of a network partition that has ended. A new watch with
-        // an immediate response replaces it.
+        freshness_.on_invalidated();
+    } else if (freshness_.begin_catch_up()) {
+        // The watch in flight may still hang because of a network partition that has ended. It is replaced by
+        // a new watch, which requests an immediate response.
         ++watch_generation_;
-        watch();
+        start_watch();
     }
 }
 
-void StateWatcher::load() { load_page("", {}, env_.now()); }
+void StateWatcher::load_all_records() { load_records_page("", {}, env_.now()); }
 
 // `first_page_revision` is the store revision of the list's first page, or 0 while that page is being
 // requested. `sent_at` is the time at which the first page was requested.
-void StateWatcher::load_page(const std::string& after, Revision first_page_revision, SteadyTime sent_at) {
+void StateWatcher::load_records_page(const std::string& after, Revision first_page_revision,
+                                     SteadyTime sent_at) {
     store_.list(
         std::string(keys::watched_prefix), after, [this, first_page_revision, sent_at](ListResult result) {
             if (result.outcome != Outcome::ok) {
                 list_items_.clear();
-                env_.after(list_retry_delay, [this] { load(); });
+                env_.after(list_retry_delay, [this] { load_all_records(); });
                 return;
             }
             // Pages of a list reflect different revisions. The watch starts from the revision of the first
@@ -77,32 +78,32 @@
             const Revision start = first_page_revision == Revision{} ? result.revision : first_page_revision;
             for (auto& item : result.items) list_items_.push_back(std::move(item));
             if (result.has_more && !list_items_.empty())
-                return load_page(list_items_.back().key, start, sent_at);
+                return load_records_page(list_items_.back().key, start, sent_at);
             on_list_read(start, sent_at);
         });
 }
 
 void StateWatcher::on_list_read(Revision first_page_revision, SteadyTime sent_at) {
-    // The cache is cleared first, so that keys deleted since the last read do not remain in it.
+    // The state cache is cleared first, so that keys deleted since the last read do not remain in it.
     state_cache_.clear();
     for (const auto& item : list_items_) state_cache_.apply(item);
     list_items_.clear();
     list_items_.shrink_to_fit();
     state_cache_.applied_revision = first_page_revision;
-    view_.on_loaded();
+    freshness_.on_loaded();
     log::info("event=state_loaded revision={} jobs={}", first_page_revision.value(),
               state_cache_.jobs().size());
     ++watch_generation_;
     observer_.on_state_read(sent_at);
-    watch();
+    start_watch();
     on_loaded_();
 }
 
 void StateWatcher::reload() {
     log::warn("event=state_reloading revision={}", state_cache_.applied_revision.value());
     watch_failures_ = 0;
-    view_.on_reload();
-    load();
+    freshness_.on_reload();
+    load_all_records();
 }
 
 // Returns the pause between watches. It batches changes into one response and grows with the number of
@@ -115,17 +116,17 @@
 
 // Applies the response to a request sent at `sent_at`, after which the state cache contains everything
 // committed before that time.
-void StateWatcher::apply(const ListResult& result, SteadyTime sent_at) {
+void StateWatcher::apply_response(const ListResult& result, SteadyTime sent_at) {
     for (const auto& item : result.items) state_cache_.apply(item);
     state_cache_.applied_revision = std::max(state_cache_.applied_revision, result.revision);
     observer_.on_state_read(sent_at);
 }
 
-void StateWatcher::watch() {
+void StateWatcher::start_watch() {
     const bool has_reads = !reads_.empty();
     watch_phase_ = WatchPhase::awaiting_response;
     store_.watch(std::string(keys::watched_prefix), state_cache_.applied_revision,
-                 !view_.is_current() || has_reads,
+                 !freshness_.is_current() || has_reads,
                  [this, generation = watch_generation_, sent_at = env_.now(), has_reads,
                   reads_end = reads_.next_read_number()](const ListResult& result) {
                      if (generation == watch_generation_)
@@ -136,24 +137,24 @@
 void StateWatcher::on_watch_response(const ListResult& result, SteadyTime sent_at, bool has_reads,
                                      std::uint64_t reads_end) {
     watch_phase_ = WatchPhase::pausing;
-    const bool was_catching_up = view_.end_catch_up();
+    const bool was_catching_up = freshness_.end_catch_up();
     if (result.is_compacted) return reload();
     if (result.outcome != Outcome::ok) {
         // If only the watch fails, its response may exceed the size limit for responses. A list is split into
         // pages and avoids that.
         if (store_.reachable() && ++watch_failures_ >= max_watch_failures) return reload();
-        return watch_after(watch_retry_delay);
+        return schedule_watch(watch_retry_delay);
     }
     watch_failures_ = 0;
-    apply(result, sent_at);
-    if (was_catching_up) view_.on_caught_up();
+    apply_response(result, sent_at);
+    if (was_catching_up) freshness_.on_caught_up();
     reads_.complete_before(reads_end);
-    watch_after(result.items.empty() && !has_reads ? millis(1) : watch_pause());
+    schedule_watch(result.items.empty() && !has_reads ? millis(1) : watch_pause());
 }
 
-void StateWatcher::watch_after(Duration delay) {
+void StateWatcher::schedule_watch(Duration delay) {
     env_.after(delay, [this, generation = watch_generation_] {
-        if (generation == watch_generation_) watch();
+        if (generation == watch_generation_) start_watch();
     });
 }
 
@@ -164,8 +165,9 @@
         return;
     }
     reads_.add(env_.now(), std::move(done));
-    // During a pause, the next watch is sent soon and gets an immediate response. A watch already in flight
-    // may wait for a change, and its response does not cover this read, so a separate read is needed.
+    // If no watch is in flight, the next watch completes this read: it starts after a short pause, and
+    // requests an immediate response because a read is pending. A watch in flight was sent before this read,
+    // so its response cannot complete the read, and a separate request is scheduled.
     if (watch_phase_ == WatchPhase::awaiting_response) schedule_read();
 }
 
@@ -173,7 +175,8 @@
     if (read_timer_ != 0) return;
     read_timer_ = env_.after(std::max(min_read_delay, last_read_sent_ + watch_pause() - env_.now()), [this] {
         read_timer_ = 0;
-        if (!reads_.empty() && !view_.is_list_in_progress() && watch_phase_ == WatchPhase::awaiting_response)
+        if (!reads_.empty() && !freshness_.is_list_in_progress() &&
+            watch_phase_ == WatchPhase::awaiting_response)
             send_read();
     });
 }
@@ -185,7 +188,7 @@
         [this, generation = watch_generation_, sent_at = env_.now(),
          reads_end = reads_.next_read_number()](const ListResult& result) {
             if (generation == watch_generation_ && result.outcome == Outcome::ok && !result.is_compacted) {
-                apply(result, sent_at);
+                apply_response(result, sent_at);
                 reads_.complete_before(reads_end);
             }
             if (!reads_.empty()) schedule_read();
--- a/src/cluster/state_watcher.h
+++ b/src/cluster/state_watcher.h
@@ -7,10 +7,10 @@
 
 #include "base/env.h"
 #include "base/settings.h"
+#include "cluster/cache_freshness.h"
 #include "cluster/cluster_observer.h"
 #include "cluster/membership.h"
 #include "cluster/pending_reads.h"
-#include "cluster/view_state.h"
 #include "store/state_cache.h"
 #include "store/store_client.h"
 
@@ -28,26 +28,26 @@
     /// Starts loading the state cache. Must be called exactly once.
     void start();
     /// Marks the state cache as stale until the key-value store has been read again.
-    void invalidate() { view_.on_invalidated(); }
+    void invalidate() { freshness_.on_invalidated(); }
     /// See ClusterCoordinator::await_fresh_state.
     void await_fresh_state(PendingReads::Callback done);
 
     /// Returns whether the key-value store has been read completely at least once.
-    [[nodiscard]] bool is_loaded() const { return view_.is_loaded(); }
+    [[nodiscard]] bool is_loaded() const { return freshness_.is_loaded(); }
     /// See ClusterCoordinator::is_up_to_date.
     [[nodiscard]] bool is_up_to_date() const;
 
   private:
     void detect_stalls();
-    void load();
-    void load_page(const std::string& after, Revision first_page_revision, SteadyTime sent_at);
+    void load_all_records();
+    void load_records_page(const std::string& after, Revision first_page_revision, SteadyTime sent_at);
     void on_list_read(Revision first_page_revision, SteadyTime sent_at);
     void reload();
-    void watch();
+    void start_watch();
     void on_watch_response(const ListResult& result, SteadyTime sent_at, bool has_reads,
                            std::uint64_t reads_end);
-    void watch_after(Duration delay);
-    void apply(const ListResult& result, SteadyTime sent_at);
+    void schedule_watch(Duration delay);
+    void apply_response(const ListResult& result, SteadyTime sent_at);
     void schedule_read();
     void send_read();
     [[nodiscard]] Duration watch_pause() const;
@@ -59,9 +59,9 @@
     const Membership& membership_;
     ClusterObserver& observer_;
     const std::function<void()> on_loaded_;
-    ViewState view_;
+    CacheFreshness freshness_;
     SteadyTime last_stall_check_{};
-    std::vector<KeyUpdate> list_items_;  // records received so far by the list in progress
+    std::vector<KeyUpdate> list_items_;  // records received so far for the list request in progress
     enum class WatchPhase : std::uint8_t { pausing, awaiting_response };
     WatchPhase watch_phase_ = WatchPhase::pausing;
     std::uint64_t watch_generation_ = 0;  // incremented to ignore responses and timers of earlier watches
--- a/src/cluster/write_budget_share.cpp
+++ b/src/cluster/write_budget_share.cpp
@@ -8,7 +8,7 @@
                                    const StateCache& state_cache, const Membership& membership)
     : settings_(settings), store_(store), state_cache_(state_cache), membership_(membership) {}
 
-void WriteBudgetShare::update(double own_demand, const std::map<NodeName, double>& peer_demands) {
+void WriteBudgetShare::recompute_shares(double own_demand, const std::map<NodeName, double>& peer_demands) {
     double total_demand = own_demand;
     std::size_t nodes = 1;  // this controller counts even if its session record is not in the state cache
     std::size_t silent_peers = 0;
--- a/src/cluster/write_budget_share.h
+++ b/src/cluster/write_budget_share.h
@@ -20,12 +20,12 @@
     WriteBudgetShare(const Settings& settings, StoreClient& store, const StateCache& state_cache,
                      const Membership& membership);
 
-    /// Recomputes the shares from the pending writes of this controller and of its peers, the latter as
-    /// reported in peer heartbeats. A live peer missing from `peer_demands` counts with the average demand of
-    /// the others.
-    void update(double own_demand, const std::map<NodeName, double>& peer_demands);
+    /// Recomputes this controller's budget shares and sets them in the store client. The demands are the
+    /// numbers of pending writes of this controller and of its peers, the latter as reported in peer
+    /// heartbeats. A live peer missing from `peer_demands` counts with the average demand of the others.
+    void recompute_shares(double own_demand, const std::map<NodeName, double>& peer_demands);
     /// To be called when the number of live controllers may have changed. Updates the even shares
-    /// immediately; the demand-based share changes with the next `update`.
+    /// immediately; the demand-based share changes with the next `recompute_shares`.
     void on_membership_changed();
 
   private:
@@ -33,7 +33,7 @@
     StoreClient& store_;
     const StateCache& state_cache_;
     const Membership& membership_;
-    double write_share_ = 0;  // share of the write budget, at most 1; 0 before the first `update`
+    double write_share_ = 0;  // share of the write budget, at most 1; 0 before the first `recompute_shares`
 };
 
 }  // namespace zincdyke
--- a/src/sched/placement_rules.cpp
+++ b/src/sched/placement_rules.cpp
@@ -69,7 +69,8 @@
 }
 
 namespace {
-// Each of these weights exceeds the largest possible score for free capacity, a few thousand.
+// Score weights. Each exceeds the highest possible score for free capacity, which is a few thousand, so that
+// free capacity only decides between otherwise equal candidates.
 constexpr std::int64_t image_weight = 100'000, replica_weight = 60'000, failure_weight = 1'000'000;
 }  // namespace
 
--- a/src/sched/placement_rules.h
+++ b/src/sched/placement_rules.h
@@ -36,8 +36,8 @@
     std::string job_class;
     /// Lowest rank of the jobs of `job_class` that the machine is reserved for.
     wire::Rank rank = wire::Rank::standard;
-    /// Longest checkpoint time, in seconds, of preemptible tasks that may use the machine meanwhile; 0 if no
-    /// such tasks may.
+    /// Longest time, in seconds, that a preemptible task may need to save a checkpoint if it is to run on the
+    /// reserved machine; 0 if no preemptible task may run there.
     double max_save_s = 0;
     /// The only job that may use the machine; empty if the reservation is for a class.
     JobId job = {};
@@ -59,7 +59,7 @@
 bool has_precedence(const Job& a, const Job& b, double min_age_gap_s);
 
 /// Returns whether the machine types that job `a` should use are a proper subset of those that job `b` should
-/// use. Such a job is placed first on its types, because `b` can use other types as well.
+/// use. Job `a` then has precedence on its types, because job `b` can use other types as well.
 bool has_fewer_types(const wire::JobSpec& a, const wire::JobSpec& b,
                      const std::vector<wire::MachineType>& types);
 
--- a/src/workers/agent_link.h
+++ b/src/workers/agent_link.h
@@ -18,21 +18,21 @@
 [[nodiscard]] Duration max_lease_duration(double lease_s);
 
 /// Tracks which messages an agent has provably received from this node, and when the agent's lease ends.
-/// Evidence from one leader term does not apply to another, so a change of the term resets it.
+/// Evidence collected under one leader term does not apply to another, so a new term discards it.
 class AgentLink {
   public:
-    /// Updates the state from a message of the agent that is not stale (see `is_stale`).
+    /// Updates the link's state from a message of the agent. The message must not be stale (see `is_stale`).
     void on_message(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now);
     /// Records that a message of the agent arrived at `now`. The agent's lease ends at most one lease
     /// duration later.
     void record_message_received(SteadyTime now);
-    /// Records that this node answers the agent's heartbeat with this sequence number.
-    void record_heartbeat_answered(std::uint64_t number) { last_answered_number_ = number; }
+    /// Records that this node answers the heartbeat that has the sequence number `number` in its agent epoch.
+    void record_heartbeat_answered(std::uint64_t number) { last_answered_heartbeat_number_ = number; }
     /// Discards all evidence that the agent receives this node's responses.
     void mark_responses_unacknowledged() { receives_responses_ = false; }
     /// Prevents the agent's next heartbeat from counting as evidence that it received the response to the
     /// previous one.
-    void clear_last_answered_number() { last_answered_number_ = 0; }
+    void clear_last_answered_heartbeat_number() { last_answered_heartbeat_number_ = 0; }
     /// Records that the lease of the current agent epoch expired under `term`. Further messages of the epoch
     /// are stale under `term`, but not under a later term: another leader may have renewed the lease in
     /// between.
@@ -41,8 +41,8 @@
     /// for that command.
     void record_heartbeat_requested(SteadyTime now);
 
-    /// Whether a message is not newer than the newest known one, or belongs to an agent epoch whose lease
-    /// expired under `term`.
+    /// Whether an agent's message with this sequence must be ignored: it is not newer than the newest message
+    /// received so far, or belongs to an agent epoch whose lease expired under `term`.
     [[nodiscard]] bool is_stale(const wire::HeartbeatSequence& sequence, Term term) const;
     /// Whether no message of the agent epoch arrived for longer than a lease can last. False if the agent has
     /// sent no heartbeat under `term`.
@@ -61,7 +61,7 @@
     /// message.
     [[nodiscard]] bool receives_responses() const { return receives_responses_; }
     /// Returns the fencing token for a command or response to the agent under `term`.
-    [[nodiscard]] wire::FencingToken token(Term term) const {
+    [[nodiscard]] wire::FencingToken fencing_token(Term term) const {
         return {term, term_ == term ? token_count_ : 0};
     }
     /// Whether the token count has reached its maximum, so that no early heartbeat can be requested under the
@@ -69,18 +69,20 @@
     [[nodiscard]] bool is_token_exhausted() const { return token_count_ == wire::FencingToken::max_count; }
     /// Whether an early heartbeat was requested less than `interval` before `now`.
     [[nodiscard]] bool was_heartbeat_requested(SteadyTime now, Duration interval) const;
-    [[nodiscard]] const wire::HeartbeatSequence& sequence() const { return sequence_; }
-    [[nodiscard]] std::uint64_t agent_epoch() const { return sequence_.agent_epoch; }
-    [[nodiscard]] std::uint64_t last_answered_number() const { return last_answered_number_; }
+    [[nodiscard]] const wire::HeartbeatSequence& newest_sequence() const { return newest_sequence_; }
+    [[nodiscard]] std::uint64_t agent_epoch() const { return newest_sequence_.agent_epoch; }
+    [[nodiscard]] std::uint64_t last_answered_heartbeat_number() const {
+        return last_answered_heartbeat_number_;
+    }
     /// Arrival time of the agent's newest message. The agent's lease was last renewed at that time or
     /// earlier.
-    [[nodiscard]] SteadyTime last_received() const { return last_received_; }
+    [[nodiscard]] SteadyTime last_message_at() const { return last_message_at_; }
     /// Arrival time of the newest heartbeat at which the agent was known to receive this node's responses.
-    [[nodiscard]] SteadyTime last_connected() const { return last_connected_; }
+    [[nodiscard]] SteadyTime last_connected_at() const { return last_connected_at_; }
 
   private:
-    void begin_term(Term term);
-    Term term_;  // leader term to which the members up to `heartbeat_requested_at_` apply
+    void reset_for_term(Term term);
+    Term term_;  // leader term under which the next five members were recorded
     bool has_received_term_ = false;
     bool has_sent_heartbeat_ = false;
     // Sending a response does not prove that it arrives. Proof is a message with a term that only this node
@@ -89,10 +91,10 @@
     bool receives_responses_ = false;
     std::uint32_t token_count_ = 0;
     SteadyTime heartbeat_requested_at_{};
-    wire::HeartbeatSequence sequence_;  // sequence of the newest message
-    SteadyTime last_received_{};
-    SteadyTime last_connected_{};
-    std::uint64_t last_answered_number_ = 0;  // number of the epoch's newest answered heartbeat; 0: none
+    wire::HeartbeatSequence newest_sequence_;
+    SteadyTime last_message_at_{};
+    SteadyTime last_connected_at_{};
+    std::uint64_t last_answered_heartbeat_number_ = 0;  // 0: none answered in the newest agent epoch
     std::uint64_t expired_epoch_ = 0;  // agent epoch whose lease expired under `expired_term_`; 0: none
     Term expired_term_;
 };
--- a/src/workers/capacity_notifier.h
+++ b/src/workers/capacity_notifier.h
@@ -13,15 +13,15 @@
 
 namespace zincdyke {
 
-/// Collects freed capacity for 25 ms, then sends every controller the largest free amount of each resource by
-/// machine type.
+/// Collects capacity that becomes free for 25 ms, then sends every controller one notification per machine
+/// type with the largest free amount of each resource.
 class CapacityNotifier {
   public:
     CapacityNotifier(Env& env, const Settings& settings, const StateCache& state_cache, PeerChannel& peers,
                      CapacityTracker& capacity, const MachineAvailability& availability);
 
-    /// Called when capacity may have become free on the machine. Ignored if the machine takes no new tasks or
-    /// no task is pending.
+    /// Called when capacity may have become free on the machine. Has no effect if the machine
+    /// accepts no new tasks or no task is pending.
     void on_capacity_freed(const MachineId& id, Machine& machine);
 
   private:
@@ -34,7 +34,7 @@
     CapacityTracker& capacity_;
     const MachineAvailability& availability_;
     std::map<std::string, Resources>
-        freed_by_type_;  // largest free amounts; if not empty, the send timer is running
+        freed_by_machine_type_;  // largest free amounts to send; empty: send timer is not running
 };
 
 }  // namespace zincdyke
--- a/src/workers/capacity_tracker.cpp
+++ b/src/workers/capacity_tracker.cpp
@@ -8,13 +8,13 @@
     CachedCapacity& cached = machine.cached_capacity;
     if (!cached.free || cached.inputs_version != inputs_version_) {
         ++computation_count_;
-        cached.free = compute(id, machine);
+        cached.free = compute_free_capacity(id, machine);
         cached.inputs_version = inputs_version_;
     }
     return *cached.free;
 }
 
-Resources CapacityTracker::compute(const MachineId& id, const Machine& machine) {
+Resources CapacityTracker::compute_free_capacity(const MachineId& id, const Machine& machine) {
     const auto* type = state_cache_.machine_type(machine.type);
     if (type == nullptr) return {};
     Resources free = type->capacity;
--- a/src/workers/capacity_tracker.h
+++ b/src/workers/capacity_tracker.h
@@ -19,8 +19,8 @@
     CapacityTracker(Env& env, const StateCache& state_cache, MachineRegistry& registry)
         : env_(env), state_cache_(state_cache), registry_(registry) {}
 
-    /// Returns the resources that new tasks may use on the machine. Nothing is free if the machine's type, or
-    /// the job of a task that the machine reports, is unknown.
+    /// Returns the resources that new tasks may use on the machine. Returns zero resources if the machine's
+    /// type, or the job of a task that the machine reports, is unknown.
     [[nodiscard]] Resources free_capacity(const MachineId& id, Machine& machine);
     /// Whether the machine has no placed tasks, no running tasks and no reservations.
     [[nodiscard]] bool is_idle(const MachineId& id, const Machine& machine) const;
@@ -39,7 +39,7 @@
                         const std::vector<wire::PlacementOffer>& offers);
     /// Releases all reservations for the offers of a placement round.
     void release_offers(const wire::RoundId& round);
-    /// Releases the reservations of rounds that received no decision in time. Called periodically.
+    /// Releases the reservations of placement rounds that received no decision in time. Called periodically.
     void expire_reservations();
 
     /// Reserves capacity for a task start that waits to be committed; to be released with `release_start`.
@@ -56,12 +56,12 @@
     static constexpr Duration reservation_timeout = std::chrono::milliseconds(2500);
     /// Capacity reserved for the offers of one placement round.
     struct RoundReservation {
-        std::vector<MachineId> machines;  // machine of each offer; repeated if there are several
+        std::vector<MachineId> machines;  // machine of each offer; may contain a machine several times
         Resources need;                   // resources reserved for each offer
         SteadyTime expires_at;
     };
-    /// Capacity reserved on one machine. Kept by machine so that computing the free capacity of a machine
-    /// needs no search through all placement rounds.
+    /// Capacity reserved on one machine for offers and task starts. Kept by machine so that computing the
+    /// free capacity of a machine needs no search through all placement rounds.
     struct MachineReservations {
         Resources offered_capacity;
         std::map<TaskRef, Resources> pending_starts;
@@ -69,12 +69,14 @@
             return offered_capacity == Resources{} && pending_starts.empty();
         }
     };
-    Resources compute(const MachineId& id, const Machine& machine);
+    Resources compute_free_capacity(const MachineId& id, const Machine& machine);
     Env& env_;
     const StateCache& state_cache_;
     MachineRegistry& registry_;
-    std::uint64_t inputs_version_ = 1;  // incremented to discard all cached capacity
-    bool has_unknown_jobs_ = false;     // some machine reports tasks of a job that is not in the state cache
+    std::uint64_t inputs_version_ =
+        1;  // version of jobs and machine types; a change discards all cached capacity
+    bool has_unknown_jobs_ =
+        false;  // whether a machine reports a task of a job that is not in the state cache
     Revision machine_types_version_;
     std::map<wire::RoundId, RoundReservation> reservations_by_round_;
     std::unordered_map<MachineId, MachineReservations> reservations_by_machine_;
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -20,10 +20,10 @@
 
 void CommandSender::send_commands(const MachineId& id, const Machine& machine, Term term,
                                   const std::vector<wire::Command>& commands, Reply done) {
-    env_.http(
-        machine.address,
-        http_messages::command_request(registry_.token_for(id, term), commands, machine.link.agent_epoch()),
-        http_messages::command_timeout, std::move(done));
+    env_.http(machine.address,
+              http_messages::command_request(registry_.fencing_token_for(id, term), commands,
+                                             machine.link.agent_epoch()),
+              http_messages::command_timeout, std::move(done));
 }
 
 void CommandSender::stop_job(const JobId& id) {
@@ -65,7 +65,7 @@
     if (job == nullptr || task.status != TaskState::Status::placed || task.attempt != request.attempt) return;
     const auto term = cluster_.leader_term(task.machine);
     const Machine* machine = registry_.find(task.machine);
-    if (!term || machine == nullptr || !preempted_.insert({ref, task.attempt}).second) return;
+    if (!term || machine == nullptr || !preempted_attempts_.insert({ref, task.attempt}).second) return;
     log::info("event=task_preempted task={} attempt={} machine={} term={}", ref.str(), task.attempt,
               task.machine.value(), term->value());
     const wire::Command stop{wire::CommandKind::stop, ref, task.attempt, job->spec.save_s + save_margin_s};
@@ -85,7 +85,7 @@
 bool CommandSender::should_request_heartbeat(const MachineId& id, const Machine& machine, Term term) const {
     const AgentLink& link = machine.link;
     const SteadyTime now = env_.now();
-    const Duration time_to_next_heartbeat = link.last_received() + seconds(settings_.report_s) - now;
+    const Duration time_to_next_heartbeat = link.last_message_at() + seconds(settings_.report_s) - now;
     const Duration min_wait =
         has_unsent_service_start(id) ? min_heartbeat_wait_for_service : min_heartbeat_wait;
     const Duration interval = seconds(settings_.lease_s * heartbeat_request_interval_lease_fraction);
@@ -100,12 +100,12 @@
     return std::any_of(placed.begin(), placed.end(), [&](const TaskRef& ref) {
         const Job* job = state_cache_.job(ref.job);
         return job != nullptr && job->spec.is_service() &&
-               start_tracker_.delivery(id, {ref, state_cache_.task(ref).attempt}) == nullptr;
+               start_tracker_.start_delivery(id, {ref, state_cache_.task(ref).attempt}) == nullptr;
     });
 }
 
 void CommandSender::discard_ended_preemptions() {
-    std::erase_if(preempted_, [&](const TaskAttempt& preempted) {
+    std::erase_if(preempted_attempts_, [&](const TaskAttempt& preempted) {
         const TaskState task = state_cache_.task(preempted.task);
         return task.status != TaskState::Status::placed || task.attempt != preempted.attempt;
     });
--- a/src/workers/command_sender.h
+++ b/src/workers/command_sender.h
@@ -15,12 +15,12 @@
 
 namespace zincdyke {
 
-/// Time that a stopped task gets in addition to the time that it needs to save a checkpoint.
+/// Time that a task may run after a stop command, in addition to the time that it needs to save a checkpoint.
 constexpr double save_margin_s = 3;
 
-/// Sends commands early to reduce latency. Correctness does not depend on their delivery, because heartbeat
-/// responses repeat every command until the worker has executed it. Owns the stop commands that wait to be
-/// sent, and the set of preempted task attempts.
+/// Sends commands to workers before their next heartbeats, to reduce latency. Correctness does not depend on
+/// their delivery, because heartbeat responses repeat every command until the worker has executed it. Owns
+/// the stop commands that wait to be sent, and the set of preempted task attempts.
 class CommandSender {
   public:
     CommandSender(Env& env, const Settings& settings, const StateCache& state_cache,
@@ -38,10 +38,12 @@
     void request_heartbeat(const MachineId& id);
 
     /// Whether the attempt was commanded to stop for a job of higher rank.
-    [[nodiscard]] bool is_preempted(const TaskAttempt& attempt) const { return preempted_.contains(attempt); }
-    /// Discards preempted attempts that have ended. Called periodically.
+    [[nodiscard]] bool is_preempted(const TaskAttempt& attempt) const {
+        return preempted_attempts_.contains(attempt);
+    }
+    /// Removes task attempts that have ended from the set of preempted attempts. Called periodically.
     void discard_ended_preemptions();
-    /// Returns how many early heartbeats were requested since the process began.
+    /// Returns how many early heartbeats were requested since the process started.
     [[nodiscard]] std::uint64_t heartbeat_request_count() const { return heartbeat_request_count_; }
 
   private:
@@ -50,8 +52,8 @@
     // Minimum time between heartbeat requests to one worker, in lease durations. A worker executes at most
     // one such request in half a lease duration.
     static constexpr double heartbeat_request_interval_lease_fraction = 0.51;
-    // A heartbeat is only requested if the next regular one is at least this far away. The limit is lower if
-    // a service replica waits for its start.
+    // A heartbeat is only requested if the next regular heartbeat is at least this far away. The minimum is
+    // lower if a service replica waits for its start.
     static constexpr Duration min_heartbeat_wait = std::chrono::seconds(2);
     static constexpr Duration min_heartbeat_wait_for_service = std::chrono::milliseconds(200);
     void send_stops();
@@ -65,10 +67,11 @@
     const ClusterCoordinator& cluster_;
     MachineRegistry& registry_;
     const StartTracker& start_tracker_;
-    std::map<MachineId, std::vector<wire::Command>> pending_stops_;  // unsent stops of cancelled jobs
+    std::map<MachineId, std::vector<wire::Command>>
+        pending_stops_;  // unsent stop commands for tasks of cancelled jobs
     std::size_t concurrent_stops_ = 0;
     std::size_t concurrent_heartbeat_requests_ = 0;
-    std::set<TaskAttempt> preempted_;
+    std::set<TaskAttempt> preempted_attempts_;
     std::uint64_t heartbeat_request_count_ = 0;
 };
 
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -26,23 +26,23 @@
       reconciler_(reconciler),
       lease_monitor_(lease_monitor) {}
 
-void HeartbeatHandler::handle(const wire::Heartbeat& heartbeat, const Reply& reply) {
+void HeartbeatHandler::handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply) {
     const MachineId& id = heartbeat.machine;
     const auto term = cluster_.is_synced() ? cluster_.leader_term(id) : std::nullopt;
     if (!term || heartbeat.token.term > *term) {
         // A 200 response from a controller without the newest term would not renew the lease, and the worker
         // would keep sending heartbeats here until its lease expires.
         const auto leader = cluster_.is_synced() ? cluster_.leader_of(id) : std::nullopt;
-        return reply(http_messages::not_leader(leader));
+        return reply(http_messages::not_leader_response(leader));
     }
-    if (!registry_.can_register(id)) return reply(http_messages::unavailable());
+    if (!registry_.can_register(id)) return reply(http_messages::unavailable_response());
     ++counts_.heartbeats;
     if (is_stale(heartbeat, *term)) {
         ++counts_.stale_heartbeats;
         return renew_lease(heartbeat, *term, reconciler_.stops_for_cancelled_jobs(heartbeat), reply);
     }
     Machine& machine = registry_.find_or_add(id);
-    accept(machine, heartbeat, *term);
+    accept_heartbeat(machine, heartbeat, *term);
     const auto commands = reconciler_.reconcile(id, machine, heartbeat, *term);
     machine.link.record_heartbeat_answered(heartbeat.sequence.number);
     if (!machine.ended_attempts.empty() || heartbeat.tasks.empty()) notifier_.on_capacity_freed(id, machine);
@@ -61,7 +61,7 @@
     return machine != nullptr && machine->link.is_stale(heartbeat.sequence, term);
 }
 
-void HeartbeatHandler::accept(Machine& machine, const wire::Heartbeat& heartbeat, Term term) {
+void HeartbeatHandler::accept_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, Term term) {
     const SteadyTime now = env_.now();
     AgentLink& link = machine.link;
     // A heartbeat that arrives more than a lease duration after the previous one may have been delayed in the
@@ -75,16 +75,17 @@
         "event=heartbeat machine={} agent_epoch={} number={} shown_term={} term={} receives_responses={} "
         "answered={} at={:.3f}",
         heartbeat.machine.value(), heartbeat.sequence.agent_epoch, heartbeat.sequence.number,
-        heartbeat.token.term.value(), term.value(), link.receives_responses(), link.last_answered_number(),
-        to_seconds(now.time_since_epoch()));
+        heartbeat.token.term.value(), term.value(), link.receives_responses(),
+        link.last_answered_heartbeat_number(), to_seconds(now.time_since_epoch()));
     send_superseded_response(heartbeat.machine, term);
-    if (is_overdue) link.clear_last_answered_number();
-    machine.apply(heartbeat, term, HeartbeatSource::agent, now);
+    if (is_overdue) link.clear_last_answered_heartbeat_number();
+    machine.apply_heartbeat(heartbeat, term, HeartbeatSource::agent, now);
     if (is_overdue) link.mark_responses_unacknowledged();
 }
 
-// Sends the machine's pending response when a newer heartbeat arrives. The worker no longer waits for that
-// response and would ignore a start in it, so it carries only stop commands for cancelled jobs.
+// Sends the response to a machine's previous heartbeat when a newer heartbeat arrives. The worker no longer
+// waits for that response and would ignore a start in it, so it carries only stop commands for cancelled
+// jobs.
 void HeartbeatHandler::send_superseded_response(const MachineId& id, Term term) {
     const auto found = pending_responses_.find(id);
     if (found == pending_responses_.end()) return;
@@ -95,9 +96,9 @@
                 pending.reply);
 }
 
-// Whether the response should wait for commands that are likely to follow soon, because the machine reports
-// an ended task or no tasks while tasks are pending. A command that misses the response has to wait for the
-// machine's next heartbeat, which leaves the machine idle in between.
+// Whether the response to a heartbeat should be delayed, because commands are likely to follow soon: the
+// machine reports an ended task, or no tasks while tasks are pending. A command that misses the response has
+// to wait for the machine's next heartbeat, which leaves the machine idle in between.
 bool HeartbeatHandler::should_delay_response(const Machine& machine, const wire::Heartbeat& heartbeat) const {
     if (heartbeat.notice_s || !availability_.is_schedulable(heartbeat.machine, machine) ||
         !state_cache_.has_pending_tasks())
@@ -114,7 +115,7 @@
         sender_.request_heartbeat(id);
 }
 
-// Sends the machine's pending response with the commands that apply now.
+// Sends the delayed response to a machine's heartbeat, with the commands that apply now.
 void HeartbeatHandler::send_pending_response(const MachineId& id) {
     const auto found = pending_responses_.find(id);
     if (found == pending_responses_.end()) return;
@@ -124,9 +125,9 @@
     const auto term = cluster_.leader_term(id);
     Machine* machine = registry_.find(id);
     if (!term || machine == nullptr || pending.heartbeat.token.term > *term)
-        return pending.reply(http_messages::not_leader(std::nullopt));
+        return pending.reply(http_messages::not_leader_response(std::nullopt));
     // The heartbeat is outdated if a newer message has arrived in the response to a command.
-    const bool is_newest = pending.heartbeat.sequence == machine->link.sequence();
+    const bool is_newest = pending.heartbeat.sequence == machine->link.newest_sequence();
     renew_lease(pending.heartbeat, *term,
                 is_newest ? reconciler_.reconcile(id, *machine, pending.heartbeat, *term)
                           : reconciler_.stops_for_cancelled_jobs(pending.heartbeat),
@@ -142,9 +143,10 @@
     if (!cancellation_watermark_.may_renew_leases()) {
         ++counts_.leases_not_renewed;
         log::debug("event=lease_not_renewed machine={}", heartbeat.machine.value());
-        return reply(http_messages::unavailable());
+        return reply(http_messages::unavailable_response());
     }
-    reply(http_messages::lease_renewed(registry_.token_for(heartbeat.machine, term), commands));
+    reply(http_messages::lease_renewed_response(registry_.fencing_token_for(heartbeat.machine, term),
+                                                commands));
 }
 
 }  // namespace zincdyke
--- a/src/workers/heartbeat_handler.h
+++ b/src/workers/heartbeat_handler.h
@@ -32,12 +32,12 @@
     /// Handles a heartbeat and calls `reply` exactly once, with status 200 (lease renewed, with commands),
     /// 421 (another controller leads the machine's shard) or 503 (the worker should try another controller,
     /// or this one again).
-    void handle(const wire::Heartbeat& heartbeat, const Reply& reply);
-    /// Delivers a committed task start to the machine: in the machine's pending response if there is one,
-    /// else by requesting a heartbeat.
+    void handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply);
+    /// Delivers a committed task start to the machine: in the pending response to its heartbeat if there is
+    /// one, else by requesting a heartbeat.
     void deliver_start(const MachineId& id);
 
-    /// Counters since the process began. `heartbeats` includes the stale ones.
+    /// Numbers of heartbeats handled since the process started; `heartbeats` includes the stale ones.
     struct Counts {
         std::uint64_t heartbeats = 0, stale_heartbeats = 0, leases_not_renewed = 0;
     };
@@ -55,7 +55,7 @@
         Env::TimerId timer = 0;
     };
     [[nodiscard]] bool is_stale(const wire::Heartbeat& heartbeat, Term term) const;
-    void accept(Machine& machine, const wire::Heartbeat& heartbeat, Term term);
+    void accept_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, Term term);
     [[nodiscard]] bool should_delay_response(const Machine& machine, const wire::Heartbeat& heartbeat) const;
     void send_superseded_response(const MachineId& id, Term term);
     void send_pending_response(const MachineId& id);
--- a/src/workers/http_messages.h
+++ b/src/workers/http_messages.h
@@ -13,15 +13,15 @@
 constexpr Duration command_timeout = std::chrono::seconds(2);
 
 /// Returns the 200 response to a heartbeat, which renews the worker's lease and carries commands. Only
-/// HeartbeatHandler sends it.
-[[nodiscard]] HttpResponse lease_renewed(wire::FencingToken token,
-                                         const std::vector<wire::Command>& commands);
+/// HeartbeatHandler may send this response.
+[[nodiscard]] HttpResponse lease_renewed_response(wire::FencingToken token,
+                                                  const std::vector<wire::Command>& commands);
 /// Returns the 421 response to a heartbeat: this controller does not lead the machine's shard. The response
 /// names the shard's leader if `leader` is not empty.
-[[nodiscard]] HttpResponse not_leader(const std::optional<NodeName>& leader);
+[[nodiscard]] HttpResponse not_leader_response(const std::optional<NodeName>& leader);
 /// Returns the 503 response to a heartbeat: the worker should try another controller, or this one again after
 /// one second.
-[[nodiscard]] HttpResponse unavailable();
+[[nodiscard]] HttpResponse unavailable_response();
 /// Returns a request that carries commands to a worker. The worker rejects the request if it has seen a
 /// higher fencing token or if `agent_epoch` is not its current epoch.
 [[nodiscard]] HttpRequest command_request(wire::FencingToken token,
--- a/src/workers/leadership_announcer.cpp
+++ b/src/workers/leadership_announcer.cpp
@@ -19,7 +19,7 @@
     const SteadyTime now = env_.now();
     for (const auto& status : heartbeat.machines) {
         if (status.address.empty() || !can_store_address(status.id)) continue;
-        Target& target = targets_[status.id];
+        AnnouncementTarget& target = targets_[status.id];
         target.address = status.address;
         target.agent_epoch = std::max(target.agent_epoch, status.agent_epoch);
         target.address_confirmed_at = now;
@@ -29,7 +29,7 @@
 void LeadershipAnnouncer::on_machines_discovered(const wire::MachinesDiscoveredNotification& notification) {
     for (const auto& machine : notification.machines) {
         if (!can_store_address(machine.id)) continue;
-        Target& target = targets_[machine.id];
+        AnnouncementTarget& target = targets_[machine.id];
         target.address = machine.address;
         target.address_confirmed_at = env_.now();
     }
@@ -59,15 +59,15 @@
         const auto term = cluster_.leader_term(id);
         const Machine* machine = registry_.find(id);
         const bool has_received_term = term && machine != nullptr && machine->link.has_received_term(*term);
-        if (term && !has_received_term) announce(id, target, *term);
+        if (term && !has_received_term) announce_term(id, target, *term);
     }
 }
 
-void LeadershipAnnouncer::announce(const MachineId& id, Target& target, Term term) {
+void LeadershipAnnouncer::announce_term(const MachineId& id, AnnouncementTarget& target, Term term) {
     target.is_in_flight = true;
     ++in_flight_count_;
     env_.http(target.address,
-              http_messages::command_request(registry_.token_for(id, term), {}, target.agent_epoch),
+              http_messages::command_request(registry_.fencing_token_for(id, term), {}, target.agent_epoch),
               http_messages::command_timeout,
               [this, id, term](const HttpResponse& response) { on_response(id, term, response); });
 }
@@ -78,7 +78,7 @@
     --in_flight_count_;
     const auto found = targets_.find(id);
     if (found == targets_.end()) return;
-    Target& target = found->second;
+    AnnouncementTarget& target = found->second;
     target.is_in_flight = false;
     auto heartbeat = response.status == 200 || response.status == 409 ? wire::parse_heartbeat(response.body)
                                                                       : std::nullopt;
@@ -99,13 +99,13 @@
     target.attempt_count = 0;
     Machine& machine = registry_.find_or_add(id);
     if (machine.link.is_stale(heartbeat->sequence, term)) return;
-    machine.apply(*heartbeat, term, HeartbeatSource::command_response, env_.now());
+    machine.apply_heartbeat(*heartbeat, term, HeartbeatSource::command_response, env_.now());
     // The agent sent its last answered heartbeat before this response, so its lease cannot end later than one
     // lease duration from now.
     machine.link.record_message_received(env_.now());
 }
 
-void LeadershipAnnouncer::schedule_retry(Target& target) const {
+void LeadershipAnnouncer::schedule_retry(AnnouncementTarget& target) const {
     target.next_attempt_at =
         env_.now() + std::min(max_retry_delay,
                               first_retry_delay * (1 << std::min(target.attempt_count, max_retry_doublings)));
--- a/src/workers/leadership_announcer.h
+++ b/src/workers/leadership_announcer.h
@@ -13,7 +13,7 @@
 
 namespace zincdyke {
 
-/// Sends this node's term to machines that have not received it yet. Without that, a former leader that is
+/// Sends this node's term to machines that have not received it yet. Otherwise, a former leader that is
 /// partitioned from everything but its workers would keep commanding them, cancelled tasks included. Owns the
 /// addresses of the machines in all shards, which come from peer heartbeats and from the cloud's machine
 /// list.
@@ -22,16 +22,17 @@
     LeadershipAnnouncer(Env& env, const StateCache& state_cache, const ClusterCoordinator& cluster,
                         MachineRegistry& registry);
 
-    /// Stores the addresses of the machines in a peer's heartbeat.
+    /// Updates the stored machine addresses with those that a peer's heartbeat contains.
     void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
-    /// Stores the addresses of machines from the cloud's machine list.
+    /// Updates the stored machine addresses with those that the cloud's machine list contains.
     void on_machines_discovered(const wire::MachinesDiscoveredNotification& notification);
     /// Discards the address of a terminated machine, unless a request to the machine is in flight.
     void on_machine_terminated(const MachineId& id);
     /// Resets the retry delays of the shard's machines, so that all announcements to them are due now.
     void reset_retries(std::uint32_t shard);
-    /// Announces this node's term to the machines of its shards that have not received it, up to 24 at the
-    /// same time. Called periodically, and when this node acquires a shard.
+    /// Announces this node's term to the machines of its shards that have not received the term, except to
+    /// those whose retry delay has not passed. At most 24 requests are in flight. Called periodically, and
+    /// when this node acquires a shard.
     void send_due_announcements();
 
     /// Returns the number of machines with a known address, by shard.
@@ -44,7 +45,7 @@
     static constexpr Duration max_retry_delay = std::chrono::seconds(4);
     static constexpr int max_retry_doublings = 3;
     /// Address of a machine, and the progress of the announcements to it.
-    struct Target {
+    struct AnnouncementTarget {
         std::string address;
         std::uint64_t agent_epoch = 1;
         SteadyTime address_confirmed_at{}, next_attempt_at{};
@@ -52,14 +53,14 @@
         bool is_in_flight = false;
     };
     [[nodiscard]] bool can_store_address(const MachineId& id) const;
-    void announce(const MachineId& id, Target& target, Term term);
+    void announce_term(const MachineId& id, AnnouncementTarget& target, Term term);
     void on_response(const MachineId& id, Term term, const HttpResponse& response);
-    void schedule_retry(Target& target) const;
+    void schedule_retry(AnnouncementTarget& target) const;
     Env& env_;
     const StateCache& state_cache_;
     const ClusterCoordinator& cluster_;
     MachineRegistry& registry_;
-    std::map<MachineId, Target> targets_;
+    std::map<MachineId, AnnouncementTarget> targets_;
     std::size_t in_flight_count_ = 0;
 };
 
--- a/src/workers/lease_monitor.h
+++ b/src/workers/lease_monitor.h
@@ -27,20 +27,23 @@
     /// Called when this node becomes the shard's leader. Counts missing heartbeats of the shard's machines
     /// from now, because other leaders may have received their heartbeats before.
     void on_leadership_acquired(std::uint32_t shard);
-    /// Transfers the leadership of shards from whose machines no heartbeats arrive. Without that, a leader
-    /// partitioned only from the workers would keep its shard until every lease in it has expired, although
-    /// other controllers receive the heartbeats. Called periodically.
+    /// Transfers the leadership of shards from whose machines no heartbeats arrive. Otherwise, a leader
+    /// partitioned only from the workers would lead its shard until all its machines' leases have expired,
+    /// although other controllers receive the heartbeats. Called periodically.
     void transfer_silent_shards();
-    /// Releases the tasks of machines whose lease has certainly expired. Removes machines without tasks that
-    /// are in no shard of this node, or that sent nothing for 12 lease durations. Called periodically.
+    /// Releases the tasks of machines whose lease has certainly expired. Also removes a machine
+    /// without tasks from the registry if this node does not lead its shard or received no message from it
+    /// for 12 lease durations. Called periodically.
     void expire_leases();
 
   private:
-    // If fewer machines than this are silent in a shard, its leadership is not transferred.
+    // Minimum number of silent machines in a shard for which the shard's leadership is transferred.
     static constexpr std::size_t min_silent_machines = 5;
-    // Silence after which a machine without tasks is removed from the registry, in lease durations.
+    // Time without messages after which a machine without tasks is removed from the registry, in lease
+    // durations.
     static constexpr double remove_after_leases = 12;
-    /// When this node acquired a shard, and when the shard's last heartbeat arrived (0: none since then).
+    /// Time at which this node became a shard's leader, and arrival time of the last heartbeat from the
+    /// shard's machines (0: none since then).
     struct ShardActivity {
         SteadyTime acquired_at{}, last_heartbeat_at{};
     };
--- a/src/workers/machine_availability.cpp
+++ b/src/workers/machine_availability.cpp
@@ -18,7 +18,7 @@
     const auto term = cluster_.leader_term(id);
     return term && machine.link.is_connected(*term) && !machine.spot_notice_s &&
            !drain_started_at_.contains(id) && !cordons_.is_cordoned(id) &&
-           env_.now() - machine.link.last_received() < seconds(settings_.report_s * 2.5);
+           env_.now() - machine.link.last_message_at() < seconds(settings_.report_s * 2.5);
 }
 
 void MachineAvailability::on_drain_request(const NodeName& from, const wire::DrainRequest& request) {
--- a/src/workers/machine_availability.h
+++ b/src/workers/machine_availability.h
@@ -26,8 +26,8 @@
     /// Starts draining the machine if it is idle, and confirms that to `from`. A request for a busy machine
     /// gets no response; the autoscaler repeats it later.
     void on_drain_request(const NodeName& from, const wire::DrainRequest& request);
-    /// Ends drains that began more than 20 s ago, so that a machine that was not terminated takes tasks
-    /// again. Called periodically.
+    /// Ends drains that started more than 20 s ago, so that a machine that the cloud did not terminate
+    /// accepts tasks again. Called periodically.
     void expire_drains();
     /// Ends the drain of a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { drain_started_at_.erase(id); }
--- a/src/workers/machine_registry.cpp
+++ b/src/workers/machine_registry.cpp
@@ -4,7 +4,8 @@
 
 namespace zincdyke {
 
-void Machine::apply(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now) {
+void Machine::apply_heartbeat(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source,
+                              SteadyTime now) {
     link.on_message(heartbeat, term, source, now);
     type = heartbeat.type;
     zone = heartbeat.zone;
@@ -49,9 +50,9 @@
     if (machines_.erase(id) > 0) observer_.on_machine_removed(id);
 }
 
-wire::FencingToken MachineRegistry::token_for(const MachineId& id, Term term) const {
+wire::FencingToken MachineRegistry::fencing_token_for(const MachineId& id, Term term) const {
     const Machine* machine = find(id);
-    return machine == nullptr ? wire::FencingToken{term, 0} : machine->link.token(term);
+    return machine == nullptr ? wire::FencingToken{term, 0} : machine->link.fencing_token(term);
 }
 
 void MachineRegistry::mark_terminated(const MachineId& id) {
--- a/src/workers/machine_registry.h
+++ b/src/workers/machine_registry.h
@@ -3,6 +3,7 @@
 #include <cstdint>
 #include <deque>
 #include <optional>
+#include <ranges>
 #include <set>
 #include <string>
 #include <unordered_map>
@@ -21,7 +22,7 @@
     std::uint64_t inputs_version = 0;  // version of the jobs and machine types used to compute `free`
 };
 
-/// State of a machine as reported by its worker's newest heartbeat.
+/// State of a machine as reported by its worker's newest heartbeat, and of the communication with its agent.
 struct Machine {
     std::string type, zone, address;
     bool spot = false;
@@ -29,12 +30,12 @@
     std::set<TaskRef> active_tasks;        // reported tasks that have not ended
     std::set<TaskAttempt> ended_attempts;  // attempts reported as ended; they no longer use capacity
     AgentLink link;
-    SteadyTime monitored_since{};  // earliest time from which missing heartbeats are counted
+    SteadyTime monitored_since{};  // time from which on missing heartbeats are counted
     CachedCapacity cached_capacity;
 
-    /// Updates the machine from a message that is newer than all earlier ones. `term` is this node's term as
-    /// the leader of the machine's shard.
-    void apply(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now);
+    /// Updates the machine's state from a message of its agent, which must be newer than all messages applied
+    /// before. `term` is this node's term as the leader of the machine's shard.
+    void apply_heartbeat(const wire::Heartbeat& heartbeat, Term term, HeartbeatSource source, SteadyTime now);
 };
 
 /// Is notified when MachineRegistry removes a machine, so that other components can discard their state for
@@ -69,13 +70,12 @@
     /// Removes all machines for which `should_remove(id, machine)` returns true, and notifies the observer.
     template <class Predicate>
     void remove_if(Predicate should_remove);
-    [[nodiscard]] auto begin() { return machines_.begin(); }
-    [[nodiscard]] auto end() { return machines_.end(); }
-    [[nodiscard]] auto begin() const { return machines_.begin(); }
-    [[nodiscard]] auto end() const { return machines_.end(); }
+    /// Returns the registered machines as a range of (machine id, machine) pairs, in no particular order. The
+    /// range is valid until a machine is added or removed.
+    [[nodiscard]] auto machines() { return std::ranges::subrange(machines_.begin(), machines_.end()); }
 
     /// Returns the fencing token for commands to the machine under this node's `term`.
-    [[nodiscard]] wire::FencingToken token_for(const MachineId& id, Term term) const;
+    [[nodiscard]] wire::FencingToken fencing_token_for(const MachineId& id, Term term) const;
 
     /// Records that the cloud terminated the machine, so that a delayed heartbeat does not register it again.
     void mark_terminated(const MachineId& id);
--- a/src/workers/machine_status_reporter.cpp
+++ b/src/workers/machine_status_reporter.cpp
@@ -21,10 +21,10 @@
       capacity_(capacity),
       availability_(availability) {}
 
-std::vector<wire::MachineStatus> MachineStatusReporter::statuses() {
+std::vector<wire::MachineStatus> MachineStatusReporter::machine_statuses() {
     std::vector<wire::MachineStatus> statuses;
     if (!cluster_.is_up_to_date()) return statuses;
-    for (const auto& [id, machine] : registry_)
+    for (const auto& [id, machine] : registry_.machines())
         if (cluster_.leader_term(id)) statuses.push_back(build_status(id, machine));
     return statuses;
 }
@@ -35,7 +35,7 @@
     SteadyTime& idle_since = idle_since_.try_emplace(id, now).first->second;
     if (!is_idle) idle_since = now;
     // A machine that sends heartbeats but does not receive the responses counts as unreachable.
-    const SteadyTime last_connected = std::max(machine.link.last_connected(), machine.monitored_since);
+    const SteadyTime last_connected = std::max(machine.link.last_connected_at(), machine.monitored_since);
     wire::MachineStatus status;
     status.id = id;
     status.type = machine.type;
--- a/src/workers/machine_status_reporter.h
+++ b/src/workers/machine_status_reporter.h
@@ -14,7 +14,7 @@
 
 namespace zincdyke {
 
-/// Builds the machine statuses for peer heartbeats, and owns the time since when each machine has been idle.
+/// Builds the machine statuses for peer heartbeats. Owns the start time of each machine's idle period.
 class MachineStatusReporter {
   public:
     MachineStatusReporter(Env& env, const Settings& settings, const StateCache& state_cache,
@@ -22,9 +22,9 @@
                           const CapacityTracker& capacity, const MachineAvailability& availability);
 
     /// Returns the status of every machine in this node's shards, for the next peer heartbeat. Empty while
-    /// the state cache is out of date, because another controller may lead the shards by then.
-    [[nodiscard]] std::vector<wire::MachineStatus> statuses();
-    /// Discards the idle time of a machine that was removed from the registry.
+    /// the state cache is out of date, because another controller may lead the shards meanwhile.
+    [[nodiscard]] std::vector<wire::MachineStatus> machine_statuses();
+    /// Discards the idle period of a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { idle_since_.erase(id); }
 
   private:
@@ -36,7 +36,8 @@
     MachineRegistry& registry_;
     const CapacityTracker& capacity_;
     const MachineAvailability& availability_;
-    // Time since when each machine has been idle: its last status report as busy, or its first status report.
+    // Start of each machine's idle period: the time at which this node last reported the machine as busy, or
+    // first reported it.
     std::unordered_map<MachineId, SteadyTime> idle_since_;
 };
 
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -34,7 +34,7 @@
     // and under load most machines are full.
     std::optional<std::vector<const Job*>> preceding_jobs;
     std::vector<sched::Candidate> candidates;
-    for (auto& [id, machine] : components_.registry) {
+    for (auto& [id, machine] : components_.registry.machines()) {
         const Resources free = components_.capacity.free_capacity(id, machine);
         if (!free.covers(placement.request.need) || !is_eligible(placement, id, machine)) continue;
         if (!preceding_jobs) preceding_jobs = jobs_with_precedence(placement.job);
@@ -75,8 +75,8 @@
     return candidate;
 }
 
-// Whether to leave the machine to a job with precedence. True until `max_deferral` after the machine's first
-// deferral.
+// Whether to leave the machine to jobs with precedence. Returns true until `max_deferral` has passed since
+// the machine was first left to them.
 bool PlacementScorer::should_defer(const MachineId& id) {
     const SteadyTime now = env_.now();
     return now - deferred_since_.try_emplace(id, now).first->second < max_deferral;
@@ -161,7 +161,7 @@
     deferred_since_.erase(id);
     components_.capacity.reserve_start(ref, id, job->spec.need);
     StartProgress progress;
-    progress.queue_time = millis(env_.wall().value() - job->submitted.value());
+    progress.queue_duration = millis(env_.wall().value() - job->submitted.value());
     progress.assigned_at = env_.now();
     components_.committer.commit_start(ref, id, machine->zone,
                                        [this, round, ref, id, progress](bool is_committed) {
--- a/src/workers/placement_scorer.h
+++ b/src/workers/placement_scorer.h
@@ -39,7 +39,7 @@
 };
 
 /// Answers placement requests with offers, each of which reserves capacity until the placement decision. Owns
-/// the time since when each machine has been left to jobs with precedence.
+/// the time at which each machine was first left to jobs with precedence.
 class PlacementScorer {
   public:
     PlacementScorer(Env& env, const Settings& settings, const StateCache& state_cache,
@@ -50,11 +50,11 @@
     /// Commits task starts for the accepted offers. Sends the relay a placement failure with the tasks that
     /// cannot be started.
     void on_placement_decision(const wire::PlacementDecision& decision);
-    /// Called when a machine was removed from the registry. Discards the time since when the machine has been
+    /// Called when a machine was removed from the registry. Discards the time at which the machine was first
     /// left to jobs with precedence.
     void on_machine_removed(const MachineId& id) { deferred_since_.erase(id); }
 
-    /// Counters since the process began.
+    /// Numbers of placement requests answered and of offers made since the process started.
     struct Counts {
         std::uint64_t placement_requests = 0, offers = 0;
     };
@@ -65,8 +65,8 @@
     static constexpr double precedence_wait_s = 5;
     // Minimum age difference, in addition to the clock skew, for precedence over a job of the same rank.
     static constexpr double precedence_min_age_gap_s = 3;
-    // Maximum time for which a machine is left to jobs with precedence: a job whose relay is unavailable must
-    // not keep it idle.
+    // Maximum time for which a machine is left to jobs with precedence. Otherwise a job whose relay is
+    // unavailable would keep the machine idle.
     static constexpr Duration max_deferral = std::chrono::milliseconds(1500);
     static constexpr int max_error_penalty = 5;
     static constexpr int failed_on_machine_penalty = 2;
@@ -95,7 +95,8 @@
     const StateCache& state_cache_;
     const ClusterCoordinator& cluster_;
     PlacementScorerComponents components_;
-    std::map<MachineId, SteadyTime> deferred_since_;  // time of each machine's first deferral
+    std::map<MachineId, SteadyTime>
+        deferred_since_;  // time at which a machine was first left to jobs with precedence
     Counts counts_;
 };
 
--- a/src/workers/reserved_machines.cpp
+++ b/src/workers/reserved_machines.cpp
@@ -2,7 +2,7 @@
 
 namespace zincdyke {
 
-void ReservedMachines::on_update(const wire::ReservationUpdate& update) {
+void ReservedMachines::on_reservation_update(const wire::ReservationUpdate& update) {
     if (update.is_first) reservations_.clear();
     for (const auto& machine : update.machines)
         reservations_[machine.machine] = {machine.job_class, machine.rank, machine.save_ms / 1000.0,
--- a/src/workers/reserved_machines.h
+++ b/src/workers/reserved_machines.h
@@ -8,15 +8,15 @@
 
 namespace zincdyke {
 
-/// Holds the reservations of the autoscaler's latest update. They expire after 6 s without an update, so that
-/// a failed autoscaler leader leaves no reservations behind.
+/// Holds the machine reservations of the autoscaler's latest update. They expire after 6 s without an update,
+/// so that a failed autoscaler leader leaves no reservations behind.
 class ReservedMachines {
   public:
     explicit ReservedMachines(Env& env) : env_(env) {}
 
     /// Applies one message of a reservation update. The first message of an update discards all earlier
     /// reservations.
-    void on_update(const wire::ReservationUpdate& update);
+    void on_reservation_update(const wire::ReservationUpdate& update);
     /// Whether a reservation prevents tasks of the job from using the machine.
     [[nodiscard]] bool is_blocked_for(const MachineId& id, const wire::JobSpec& job) const;
 
--- a/src/workers/start_times.cpp
+++ b/src/workers/start_duration_histograms.cpp
@@ -1,4 +1,4 @@
-#include "workers/start_times.h"
+#include "workers/start_duration_histograms.h"
 
 #include <algorithm>
 
@@ -23,7 +23,7 @@
 Duration step_duration(const StartProgress& progress, StartStep step, SteadyTime running_since) {
     switch (step) {
         case StartStep::queue:
-            return progress.queue_time;
+            return progress.queue_duration;
         case StartStep::commit:
             return progress.committed_at - progress.assigned_at;
         case StartStep::delivery:
@@ -36,7 +36,8 @@
     return {};
 }
 
-void StartTimes::add(const std::string& job_class, const StartProgress& progress, SteadyTime running_since) {
+void StartDurationHistograms::add_start(const std::string& job_class, const StartProgress& progress,
+                                        SteadyTime running_since) {
     if (by_class_.size() >= max_job_classes && !by_class_.contains(job_class)) return;
     StepHistograms& histograms = by_class_[job_class];
     for (std::size_t i = 0; i < start_step_count; ++i) {
--- a/src/workers/start_tracker.cpp
+++ b/src/workers/start_tracker.cpp
@@ -27,10 +27,10 @@
     StartDelivery& delivery = starts.deliveries[{status.task, status.attempt}];
     delivery.agent_epoch = agent_epoch;
     delivery.was_reported = true;
-    update_progress(id, starts, status, job);
+    record_progress(id, starts, status, job);
 }
 
-void StartTracker::update_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
+void StartTracker::record_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
                                    const Job& job) {
     const auto start = starts.progress.find({status.task, status.attempt});
     if (start == starts.progress.end() || status.phase == wire::TaskPhase::fetching) return;
@@ -50,7 +50,7 @@
         status.task.str(), status.attempt, id.value(), job.spec.job_class, step_ms(StartStep::queue),
         step_ms(StartStep::commit), step_ms(StartStep::delivery), step_ms(StartStep::image),
         step_ms(StartStep::gang));
-    times_.add(job.spec.job_class, progress, now);
+    start_durations_.add_start(job.spec.job_class, progress, now);
 }
 
 void StartTracker::prune(const MachineId& id) {
@@ -68,7 +68,7 @@
         std::erase_if(found->second.progress, is_no_longer_placed);
 }
 
-const StartDelivery* StartTracker::delivery(const MachineId& id, const TaskAttempt& attempt) const {
+const StartDelivery* StartTracker::start_delivery(const MachineId& id, const TaskAttempt& attempt) const {
     const auto machine = machines_.find(id);
     if (machine == machines_.end()) return nullptr;
     const auto found = machine->second.deliveries.find(attempt);
--- a/src/workers/start_tracker.h
+++ b/src/workers/start_tracker.h
@@ -1,4 +1,4 @@
-/// Tracks committed task starts until the tasks run.
+/// Delivery and step durations of committed task starts.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -7,7 +7,7 @@
 #include "base/env.h"
 #include "store/state_cache.h"
 #include "wire/json_api.h"
-#include "workers/start_times.h"
+#include "workers/start_duration_histograms.h"
 #include "workers/task_attempt.h"
 
 namespace zincdyke {
@@ -33,30 +33,32 @@
     /// Called when a heartbeat reports a task that is placed on the machine; `job` is the task's job.
     void on_task_reported(const MachineId& id, const wire::TaskStatus& status, std::uint64_t agent_epoch,
                           const Job& job);
-    /// Discards attempts that are no longer placed on the machine, once the machine has many entries.
+    /// Discards the recorded starts of attempts that are no longer placed on the machine, if many starts are
+    /// recorded for the machine.
     void prune(const MachineId& id);
     /// Discards the delivery state of all starts on a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { machines_.erase(id); }
 
     /// Returns the delivery state of an attempt's start, or null if the start was neither sent nor reported.
     /// The pointer is valid until the next call of a non-const function.
-    [[nodiscard]] const StartDelivery* delivery(const MachineId& id, const TaskAttempt& attempt) const;
-    [[nodiscard]] const StartTimes& times() const { return times_; }
+    [[nodiscard]] const StartDelivery* start_delivery(const MachineId& id, const TaskAttempt& attempt) const;
+    /// Returns the step durations of the task starts that this node decided.
+    [[nodiscard]] const StartDurationHistograms& start_durations() const { return start_durations_; }
 
   private:
     struct MachineStarts {
         std::map<TaskAttempt, StartDelivery> deliveries;
         std::map<TaskAttempt, StartProgress>
-            progress;  // starts decided by this node whose tasks do not run yet
+            progress;  // starts decided by this node whose tasks were not reported as running
     };
-    void update_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
+    void record_progress(const MachineId& id, MachineStarts& starts, const wire::TaskStatus& status,
                          const Job& job);
     void record_running(const MachineId& id, const wire::TaskStatus& status, const Job& job,
                         const StartProgress& progress);
     Env& env_;
     const StateCache& state_cache_;
     std::unordered_map<MachineId, MachineStarts> machines_;
-    StartTimes times_;
+    StartDurationHistograms start_durations_;
 };
 
 }  // namespace zincdyke
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -7,7 +7,8 @@
 
 namespace zincdyke {
 namespace {
-// Cordon of a machine that rejected a task because it cannot run it or lacks the resources.
+// Duration of the cordon of a machine that rejected a task, because the machine cannot run it or lacks the
+// resources.
 constexpr Duration rejected_task_cordon = std::chrono::seconds(3);
 
 bool has_gang_failed(const Job& job) {
@@ -131,7 +132,8 @@
 std::optional<ReleaseReason> TaskReconciler::absence_reason(const wire::Heartbeat& heartbeat, const Job& job,
                                                             const StartDelivery* delivery) {
     if (delivery != nullptr && delivery->was_reported) return ReleaseReason::missing_from_heartbeat;
-    // The agent epoch to which the start was sent has ended, or several responses with the start were lost.
+    // A start that the worker never reported counts as not acknowledged if the agent epoch in which it was
+    // sent has ended, or if several responses with the start were sent.
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
         return ReleaseReason::start_not_acknowledged;
@@ -150,7 +152,7 @@
     // key-value store is unreachable. Starting the attempt again would let it run at the same time as its
     // successor.
     if (job == nullptr || committer_.has_pending_end(ref, attempt.attempt)) return std::nullopt;
-    const StartDelivery* delivery = start_tracker_.delivery(id, attempt);
+    const StartDelivery* delivery = start_tracker_.start_delivery(id, attempt);
     if (const auto reason = absence_reason(heartbeat, *job, delivery)) {
         // Only a heartbeat with this node's term proves that the attempt does not run: the worker rejects
         // start commands of earlier leaders, and has executed or discarded those that this node sent before.
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -35,8 +35,8 @@
     void release_all_tasks(const MachineId& id, ReleaseReason reason);
 
   private:
-    // Number of responses that carried the same start command without effect after which the start counts as
-    // not acknowledged.
+    // Maximum number of responses that carry the same start command. If the worker still does not report the
+    // task, the start counts as not acknowledged.
     static constexpr int max_start_sends = 2;
     [[nodiscard]] bool is_placed_on(const MachineId& id, const wire::TaskStatus& status) const;
     std::optional<wire::Command> reconcile_reported_task(const MachineId& id,
@@ -50,7 +50,8 @@
     std::optional<wire::Command> reconcile_missing_task(const MachineId& id, Machine& machine,
                                                         const wire::Heartbeat& heartbeat, const TaskRef& ref,
                                                         Term term);
-    // Returns why a task missing from the heartbeat has ended or will not start; empty: it may still start.
+    // Returns the reason why a task missing from the heartbeat has ended or will not start, or nothing if the
+    // task may still start.
     static std::optional<ReleaseReason> absence_reason(const wire::Heartbeat& heartbeat, const Job& job,
                                                        const StartDelivery* delivery);
     const Settings& settings_;
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -43,7 +43,7 @@
 }
 
 void WorkerManager::handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply) {
-    heartbeat_handler_.handle(heartbeat, reply);
+    heartbeat_handler_.handle_heartbeat(heartbeat, reply);
 }
 
 void WorkerManager::on_placement_request(const wire::PlacementRequest& request) {
@@ -69,7 +69,7 @@
 }
 
 void WorkerManager::on_reservation_update(const wire::ReservationUpdate& update) {
-    reserved_machines_.on_update(update);
+    reserved_machines_.on_reservation_update(update);
 }
 
 void WorkerManager::on_preemption_request(const wire::PreemptionRequest& request) {
--- a/src/workers/worker_manager.h
+++ b/src/workers/worker_manager.h
@@ -41,12 +41,13 @@
     /// Starts the periodic work. To be called once.
     void start();
 
-    /// Handles a worker's heartbeat. See HeartbeatHandler::handle.
+    /// Handles a worker's heartbeat. See HeartbeatHandler::handle_heartbeat.
     void handle_heartbeat(const wire::Heartbeat& heartbeat, const Reply& reply);
 
-    /// Sends placement offers to the request's gatherer, in the role of a scorer.
+    /// Handles a placement request in the role of a scorer: sends placement offers to the request's gatherer.
     void on_placement_request(const wire::PlacementRequest& request);
-    /// Commits task starts on the machines that a gatherer chose, in the role of a scorer.
+    /// Handles a placement decision in the role of a scorer: commits task starts on the machines that the
+    /// gatherer chose.
     void on_placement_decision(const wire::PlacementDecision& decision);
 
     /// Handles the autoscaler's request to place no more tasks on a machine.
@@ -59,9 +60,11 @@
     /// checkpoint.
     void on_preemption_request(const wire::PreemptionRequest& request);
 
-    /// Stores the machine addresses in a peer's heartbeat, which are used to announce a new term.
+    /// Handles a peer's heartbeat: keeps the machine addresses that it contains, to announce new terms to
+    /// these machines.
     void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
-    /// Stores the machine addresses in the cloud's machine list, which are used to announce a new term.
+    /// Handles the cloud's machine list: keeps the machine addresses that it contains, to announce new terms
+    /// to these machines.
     void on_machines_discovered(const wire::MachinesDiscoveredNotification& notification);
     /// Called when this node becomes the shard's leader. Announces the new term to the shard's machines.
     void on_leadership_acquired(std::uint32_t shard);
@@ -76,14 +79,17 @@
     void on_job_cancelled(const JobId& id) { sender_.stop_job(id); }
 
     /// Returns the status of every machine in this node's shards, for the heartbeat to the other controllers.
-    [[nodiscard]] std::vector<wire::MachineStatus> machine_statuses() { return reporter_.statuses(); }
-    /// Counters for the status page, since the process began.
+    [[nodiscard]] std::vector<wire::MachineStatus> machine_statuses() { return reporter_.machine_statuses(); }
+    /// Numbers of events since the process started, for the status page.
     struct Counts {
         std::uint64_t heartbeats = 0, stale_heartbeats = 0, leases_not_renewed = 0, placement_requests = 0,
                       offers = 0, capacity_computations = 0, heartbeat_requests = 0;
     };
     [[nodiscard]] Counts counts() const;
-    [[nodiscard]] const StartTimes& start_times() const { return start_tracker_.times(); }
+    /// Returns the step durations of the task starts that this node decided.
+    [[nodiscard]] const StartDurationHistograms& start_durations() const {
+        return start_tracker_.start_durations();
+    }
 
   private:
     static constexpr Duration periodic_work_interval = std::chrono::milliseconds(500);
--- a/tests/agent_link_test.cpp
+++ b/tests/agent_link_test.cpp
@@ -43,17 +43,17 @@
     link.record_heartbeat_answered(1);
     link.on_message(heartbeat(2, 2, our_term), our_term, HeartbeatSource::agent, start);
     EXPECT_FALSE(link.receives_responses(our_term));
-    EXPECT_EQ(link.last_answered_number(), 0U);
+    EXPECT_EQ(link.last_answered_heartbeat_number(), 0U);
 }
 
 TEST(AgentLink, NewTermDropsAllThatTheOldOneProved) {
     AgentLink link;
     link.on_message(heartbeat(1, 1, our_term), our_term, HeartbeatSource::agent, start);
     link.record_heartbeat_requested(start);
-    EXPECT_EQ(link.token(our_term).count, 1U);
+    EXPECT_EQ(link.fencing_token(our_term).count, 1U);
     const Term later{9};
     EXPECT_FALSE(link.has_received_term(later));
-    EXPECT_EQ(link.token(later).count, 0U);
+    EXPECT_EQ(link.fencing_token(later).count, 0U);
     link.on_message(heartbeat(1, 2, our_term), later, HeartbeatSource::agent, start);
     EXPECT_FALSE(link.is_connected(later));
     EXPECT_FALSE(link.was_heartbeat_requested(start, seconds(1)));
@@ -64,7 +64,7 @@
     link.on_message(heartbeat(1, 1, our_term), our_term, HeartbeatSource::command_response, start);
     EXPECT_TRUE(link.receives_responses(our_term));
     EXPECT_FALSE(link.is_connected(our_term));
-    EXPECT_EQ(link.last_connected(), SteadyTime{});
+    EXPECT_EQ(link.last_connected_at(), SteadyTime{});
 }
 
 TEST(AgentLink, MessagesOfAnExpiredEpochAreStaleUnderThatTermOnly) {
--- a/tests/cluster_units_test.cpp
+++ b/tests/cluster_units_test.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "cluster/autoscaler_election.h"
+#include "cluster/cache_freshness.h"
 #include "cluster/job_roles.h"
 #include "cluster/membership.h"
 #include "cluster/pending_reads.h"
@@ -13,7 +14,6 @@
 #include "cluster/session_keeper.h"
 #include "cluster/shard_leadership.h"
 #include "cluster/state_watcher.h"
-#include "cluster/view_state.h"
 #include "cluster/write_budget_share.h"
 #include "fake_state_observer.h"
 #include "manual_env.h"
@@ -81,9 +81,9 @@
     EXPECT_TRUE(pick_by_hash("job", {}).empty());
 }
 
-TEST(ViewState, IsCurrentOnlyAfterACompleteRead) {
-    using State = ViewState::State;
-    ViewState view;
+TEST(CacheFreshness, IsCurrentOnlyAfterACompleteRead) {
+    using State = CacheFreshness::State;
+    CacheFreshness view;
     EXPECT_FALSE(view.is_loaded());
     view.on_invalidated();  // the list under way makes up for it
     EXPECT_EQ(view.state(), State::loading);
@@ -104,8 +104,8 @@
     EXPECT_TRUE(view.is_current());
 }
 
-TEST(ViewState, DoubtWhileCatchingUpAsksForAnotherWatch) {
-    ViewState view;
+TEST(CacheFreshness, DoubtWhileCatchingUpAsksForAnotherWatch) {
+    CacheFreshness view;
     view.on_loaded();
     view.on_invalidated();
     EXPECT_TRUE(view.begin_catch_up());
@@ -114,8 +114,8 @@
     EXPECT_TRUE(view.begin_catch_up());
 }
 
-TEST(ViewState, StaysLoadedWhileReloading) {
-    ViewState view;
+TEST(CacheFreshness, StaysLoadedWhileReloading) {
+    CacheFreshness view;
     view.on_reload();
     EXPECT_FALSE(view.is_loaded());
     view.on_loaded();
@@ -123,7 +123,7 @@
     EXPECT_TRUE(view.is_loaded());
     EXPECT_TRUE(view.is_list_in_progress());
     view.on_invalidated();
-    EXPECT_EQ(view.state(), ViewState::State::reloading);
+    EXPECT_EQ(view.state(), CacheFreshness::State::reloading);
     view.on_loaded();
     EXPECT_TRUE(view.is_current());
 }
@@ -295,10 +295,10 @@
 TEST_F(ClusterUnit, TransferredShardIsTakenBackAfterThreeLeases) {
     ShardLeadership leadership(env, settings, store, state_cache, membership, cluster_observer, [] {});
     put_session("n0", 1);
-    leadership.transfer(0, Revision{1});
+    leadership.transfer_leadership(0, Revision{1});
     EXPECT_EQ(env.waiting("/commit"), 0U);  // to nobody
     put_session("n1", 2);
-    leadership.transfer(0, Revision{1});
+    leadership.transfer_leadership(0, Revision{1});
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("owner":"n1")"), std::string::npos);
     put_leader(0, "n1", 5);
     env.run_for(seconds(30));
@@ -316,14 +316,14 @@
     election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 1U);
     EXPECT_NE(env.answer("/commit", 200, R"({"epoch":5})").body.find(R"("tether":7)"), std::string::npos);
-    EXPECT_FALSE(election.is_won());  // the watch tells
+    EXPECT_FALSE(election.is_elected());  // the watch tells
     election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 0U);
     env.run_for(millis(300));
     election.campaign_if_vacant(7);
     EXPECT_EQ(env.waiting("/commit"), 1U);
     state_cache.apply({keys::autoscaler_leader, Json{{"node", "n0"}}, Revision{5}});
-    EXPECT_TRUE(election.is_won());
+    EXPECT_TRUE(election.is_elected());
 }
 
 // Of 100 writes a second 95 are shared out, and one is kept for submissions and sessions.
@@ -334,16 +334,16 @@
     WriteBudgetShare share(settings, store, state_cache, membership);
     share.on_membership_changed();
     EXPECT_EQ(store.available_writes(), 46U);  // a half
-    share.update(30, {{peer, 10}});
+    share.recompute_shares(30, {{peer, 10}});
     env.run_for(seconds(1));
     EXPECT_EQ(store.available_writes(), 58U);  // half of a half, and three quarters of the other
     share.on_membership_changed();
     EXPECT_EQ(store.available_writes(), 58U);
-    share.update(30, {});  // a silent peer counts as an average one
+    share.recompute_shares(30, {});  // a silent peer counts as an average one
     EXPECT_EQ(store.available_writes(), 46U);
-    share.update(0, {{peer, 20}});
+    share.recompute_shares(0, {{peer, 20}});
     EXPECT_EQ(store.available_writes(), 22U);
-    share.update(0, {{peer, 0}});
+    share.recompute_shares(0, {{peer, 0}});
     env.run_for(seconds(1));
     EXPECT_EQ(store.available_writes(), 46U);
 }
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -26,7 +26,7 @@
     registry.remove(MachineId("m1"));
     registry.remove_if([](const MachineId& id, const Machine&) { return id == MachineId("m2"); });
     EXPECT_EQ(observer.removed, (std::vector<std::string>{"m1", "m2"}));
-    EXPECT_EQ(registry.begin(), registry.end());
+    EXPECT_EQ(registry.machines().begin(), registry.machines().end());
 }
 
 TEST(MachineRegistry, SilenceCountsFromWhenAMachineWasFirstKnown) {
@@ -46,13 +46,13 @@
     message.tasks = {{{JobId("a"), 0}, 1, wire::TaskPhase::running, wire::ExitCause::none, false},
                      {{JobId("a"), 1}, 2, wire::TaskPhase::ended, wire::ExitCause::done, false}};
     machine.cached_capacity.free = Resources{1, 0, 1};
-    machine.apply(message, Term{1}, HeartbeatSource::agent, SteadyTime{});
+    machine.apply_heartbeat(message, Term{1}, HeartbeatSource::agent, SteadyTime{});
     EXPECT_EQ(machine.active_tasks, (std::set<TaskRef>{{JobId("a"), 0}}));
     EXPECT_EQ(machine.ended_attempts, (std::set<TaskAttempt>{{{JobId("a"), 1}, 2}}));
     EXPECT_FALSE(machine.cached_capacity.free);
     message.sequence = {1, 2};
     message.tasks.clear();
-    machine.apply(message, Term{1}, HeartbeatSource::agent, SteadyTime{});
+    machine.apply_heartbeat(message, Term{1}, HeartbeatSource::agent, SteadyTime{});
     EXPECT_TRUE(machine.active_tasks.empty());
     EXPECT_TRUE(machine.ended_attempts.empty());
 }
--- a/tests/start_tracker_test.cpp
+++ b/tests/start_tracker_test.cpp
@@ -21,11 +21,11 @@
         tracker_.on_task_reported(id_, {attempt_.task, attempt_.attempt, phase, wire::ExitCause::none, false},
                                   3, job_);
     }
-    // Starts of the class by the time that the step took, in the buckets of StartTimes.
-    StartTimes::Histogram times_of(StartStep step) const {
-        const auto& classes = tracker_.times().by_class();
+    // Starts of the class by the time that the step took, in the buckets of StartDurationHistograms.
+    StartDurationHistograms::Histogram times_of(StartStep step) const {
+        const auto& classes = tracker_.start_durations().by_class();
         const auto found = classes.find("batch");
-        return found == classes.end() ? StartTimes::Histogram{}
+        return found == classes.end() ? StartDurationHistograms::Histogram{}
                                       : found->second[static_cast<std::size_t>(step)];
     }
 
@@ -40,24 +40,24 @@
 };
 
 TEST_F(StartTrackerTest, DeliveryTellsWhatWasSentAndObserved) {
-    EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
+    EXPECT_EQ(tracker_.start_delivery(id_, attempt_), nullptr);
     tracker_.on_start_sent(id_, attempt_, 2);
     tracker_.on_start_sent(id_, attempt_, 3);
-    const StartDelivery* delivery = tracker_.delivery(id_, attempt_);
+    const StartDelivery* delivery = tracker_.start_delivery(id_, attempt_);
     ASSERT_NE(delivery, nullptr);
     EXPECT_EQ(delivery->sent_count, 2);
     EXPECT_EQ(delivery->agent_epoch, 3U);
     EXPECT_FALSE(delivery->was_reported);
     observe(wire::TaskPhase::fetching);
-    EXPECT_TRUE(tracker_.delivery(id_, attempt_)->was_reported);
-    EXPECT_EQ(tracker_.delivery(id_, {attempt_.task, 2}), nullptr);
+    EXPECT_TRUE(tracker_.start_delivery(id_, attempt_)->was_reported);
+    EXPECT_EQ(tracker_.start_delivery(id_, {attempt_.task, 2}), nullptr);
     tracker_.on_machine_removed(id_);
-    EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
+    EXPECT_EQ(tracker_.start_delivery(id_, attempt_), nullptr);
 }
 
 TEST_F(StartTrackerTest, StepsAreCountedOnceWhenTheTaskRuns) {
     StartProgress progress;
-    progress.queue_time = seconds(4);
+    progress.queue_duration = seconds(4);
     progress.assigned_at = env_.now();
     env_.stall(millis(100));
     tracker_.on_start_committed(id_, attempt_, progress);
@@ -67,30 +67,30 @@
     observe(wire::TaskPhase::fetching);
     env_.stall(seconds(1));
     observe(wire::TaskPhase::waiting);
-    EXPECT_TRUE(tracker_.times().by_class().empty());
+    EXPECT_TRUE(tracker_.start_durations().by_class().empty());
     env_.stall(millis(1500));
     observe(wire::TaskPhase::running);
     observe(wire::TaskPhase::running);
-    EXPECT_EQ(times_of(StartStep::queue), (StartTimes::Histogram{0, 0, 0, 1, 0, 0, 0}));
-    EXPECT_EQ(times_of(StartStep::commit), (StartTimes::Histogram{1, 0, 0, 0, 0, 0, 0}));
-    EXPECT_EQ(times_of(StartStep::delivery), (StartTimes::Histogram{0, 1, 0, 0, 0, 0, 0}));
-    EXPECT_EQ(times_of(StartStep::image), (StartTimes::Histogram{0, 0, 0, 0, 1, 0, 0}));
-    EXPECT_EQ(times_of(StartStep::gang), (StartTimes::Histogram{0, 0, 1, 0, 0, 0, 0}));
+    EXPECT_EQ(times_of(StartStep::queue), (StartDurationHistograms::Histogram{0, 0, 0, 1, 0, 0, 0}));
+    EXPECT_EQ(times_of(StartStep::commit), (StartDurationHistograms::Histogram{1, 0, 0, 0, 0, 0, 0}));
+    EXPECT_EQ(times_of(StartStep::delivery), (StartDurationHistograms::Histogram{0, 1, 0, 0, 0, 0, 0}));
+    EXPECT_EQ(times_of(StartStep::image), (StartDurationHistograms::Histogram{0, 0, 0, 0, 1, 0, 0}));
+    EXPECT_EQ(times_of(StartStep::gang), (StartDurationHistograms::Histogram{0, 0, 1, 0, 0, 0, 0}));
 }
 
 TEST_F(StartTrackerTest, StartThatAnotherLeaderSentIsNotCounted) {
     tracker_.on_start_committed(id_, attempt_, {});
     observe(wire::TaskPhase::running);
-    EXPECT_TRUE(tracker_.times().by_class().empty());
+    EXPECT_TRUE(tracker_.start_durations().by_class().empty());
 }
 
 TEST_F(StartTrackerTest, AttemptsThatAreOverAreDroppedOnceThereAreMany) {
     for (TaskIndex i = 0; i < 32; ++i) tracker_.on_start_sent(id_, {{JobId("a"), i}, 1}, 3);
     tracker_.prune(id_);
-    EXPECT_NE(tracker_.delivery(id_, attempt_), nullptr);
+    EXPECT_NE(tracker_.start_delivery(id_, attempt_), nullptr);
     tracker_.on_start_sent(id_, {{JobId("a"), 32}, 1}, 3);
     tracker_.prune(id_);
-    EXPECT_EQ(tracker_.delivery(id_, attempt_), nullptr);
+    EXPECT_EQ(tracker_.start_delivery(id_, attempt_), nullptr);
 }
 
 }  // namespace
