--- a/src/workers/lease_monitor.cpp
+++ b/src/workers/lease_monitor.cpp
@@ -26,7 +26,7 @@
     activity_by_shard_[shard] = {now, {}};
     for (const auto& [id, tasks] : state_cache_.tasks_by_machine())
         if (state_cache_.shard_of(id) == shard) registry_.find_or_add(id);
-    for (auto& [id, machine] : registry_.machines())
+    for (auto& [id, machine] : registry_)
         if (state_cache_.shard_of(id) == shard) machine.monitored_since = now;
 }
 
@@ -38,7 +38,7 @@
     // time exceeds random gaps between the heartbeats of several machines.
     const Duration max_silence = seconds(std::max(settings_.report_s * 1.75, settings_.lease_s * 0.3));
     std::map<std::uint32_t, std::size_t> reachable_machine_counts;
-    for (const auto& [id, machine] : registry_.machines())
+    for (const auto& [id, machine] : registry_)
         if (now - machine.link.last_message_at() < lease)
             ++reachable_machine_counts[state_cache_.shard_of(id)];
     auto known_machine_counts = announcer_.machine_counts_by_shard();
@@ -58,7 +58,7 @@
 
 void LeaseMonitor::expire_leases() {
     register_machines_with_tasks();
-    for (auto& [id, machine] : registry_.machines()) expire_lease_if_overdue(id, machine);
+    for (auto& [id, machine] : registry_) expire_lease_if_overdue(id, machine);
     registry_.remove_if([&](const MachineId& id, const Machine& machine) { return can_remove(id, machine); });
 }
 
--- a/src/workers/machine_registry.h
+++ b/src/workers/machine_registry.h
@@ -3,7 +3,6 @@
 #include <cstdint>
 #include <deque>
 #include <optional>
-#include <ranges>
 #include <set>
 #include <string>
 #include <unordered_map>
@@ -70,9 +69,13 @@
     /// Removes all machines for which `should_remove(id, machine)` returns true, and notifies the observer.
     template <class Predicate>
     void remove_if(Predicate should_remove);
-    /// Returns the registered machines as a range of (machine id, machine) pairs, in no particular order. The
-    /// range is valid until a machine is added or removed.
-    [[nodiscard]] auto machines() { return std::ranges::subrange(machines_.begin(), machines_.end()); }
+    /// Returns an iterator to the first registered machine, for range-based loops over all machines in no
+    /// particular order. An element is a pair of machine id and machine.
+    [[nodiscard]] auto begin() { return machines_.begin(); }
+    /// Returns the iterator past the last registered machine.
+    [[nodiscard]] auto end() { return machines_.end(); }
+    [[nodiscard]] auto begin() const { return machines_.begin(); }
+    [[nodiscard]] auto end() const { return machines_.end(); }
 
     /// Returns the fencing token for commands to the machine under this node's `term`.
     [[nodiscard]] wire::FencingToken fencing_token_for(const MachineId& id, Term term) const;
--- a/src/workers/machine_status_reporter.cpp
+++ b/src/workers/machine_status_reporter.cpp
@@ -24,7 +24,7 @@
 std::vector<wire::MachineStatus> MachineStatusReporter::machine_statuses() {
     std::vector<wire::MachineStatus> statuses;
     if (!cluster_.is_up_to_date()) return statuses;
-    for (const auto& [id, machine] : registry_.machines())
+    for (const auto& [id, machine] : registry_)
         if (cluster_.leader_term(id)) statuses.push_back(build_status(id, machine));
     return statuses;
 }
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -34,7 +34,7 @@
     // and under load most machines are full.
     std::optional<std::vector<const Job*>> preceding_jobs;
     std::vector<sched::Candidate> candidates;
-    for (auto& [id, machine] : components_.registry.machines()) {
+    for (auto& [id, machine] : components_.registry) {
         const Resources free = components_.capacity.free_capacity(id, machine);
         if (!free.covers(placement.request.need) || !is_eligible(placement, id, machine)) continue;
         if (!preceding_jobs) preceding_jobs = jobs_with_precedence(placement.job);
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -26,7 +26,7 @@
     registry.remove(MachineId("m1"));
     registry.remove_if([](const MachineId& id, const Machine&) { return id == MachineId("m2"); });
     EXPECT_EQ(observer.removed, (std::vector<std::string>{"m1", "m2"}));
-    EXPECT_EQ(registry.machines().begin(), registry.machines().end());
+    EXPECT_EQ(registry.begin(), registry.end());
 }
 
 TEST(MachineRegistry, SilenceCountsFromWhenAMachineWasFirstKnown) {
