--- a/src/app/health_check.h
+++ b/src/app/health_check.h
@@ -15,8 +15,8 @@
                 const PeerRegistry& peers)
         : cluster_(cluster), jobs_api_(jobs_api), store_(store), peers_(peers) {}
 
-    /// Returns whether this controller can serve users' requests. Returns true during an outage of the
-    /// key-value store if no peer is reachable either.
+    /// Returns whether the load balancer should send requests to this controller. A controller that cannot
+    /// reach the key-value store stays healthy if it cannot reach any other controller either.
     [[nodiscard]] bool is_healthy() const;
 
   private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -43,8 +43,8 @@
 // is not handled.
 void run_controller(const zincdyke::Settings& settings, const zincdyke::Policy& policy) {
     zincdyke::Loop loop;
-    // RealEnv and HttpServer take handlers that refer to the node. They call them only from the event loop,
-    // which runs after the node has been created.
+    // RealEnv and HttpServer take handlers that refer to the node, and call these handlers only from the
+    // event loop, which runs after the node has been created.
     std::unique_ptr<zincdyke::Node> node;
     zincdyke::RealEnv env(
         loop, settings, [&node](const zincdyke::NodeName& from, const zincdyke::wire::PeerMessage& message) {
--- a/src/app/peer_heartbeat_sender.h
+++ b/src/app/peer_heartbeat_sender.h
@@ -43,7 +43,7 @@
     Env& env_;
     const Settings& settings_;
     PeerRegistry& peers_;
-    Sources sources_;
+    Sources heartbeat_sources_;
     std::uint64_t sent_heartbeats_ = 0;
 };
 
--- a/src/app/peer_message_dispatcher.cpp
+++ b/src/app/peer_message_dispatcher.cpp
@@ -8,7 +8,7 @@
     std::visit([this, &from](const auto& content) { this->on(from, content); }, message);
 }
 
-// PeerLinks handles Hello messages, so there is nothing left to do here.
+// Does nothing, because PeerLinks has already handled the Hello message.
 void PeerMessageDispatcher::on(const NodeName& /*from*/, const wire::Hello& /*hello*/) {}
 
 void PeerMessageDispatcher::on(const NodeName& from, const wire::PeerHeartbeat& heartbeat) {
--- a/src/app/real_env.h
+++ b/src/app/real_env.h
@@ -19,6 +19,7 @@
     TimerId after(Duration delay, std::function<void()> fn) override {
         return loop_.after(delay, std::move(fn));
     }
+    /// Cancels a timer that was set with `after`.
     void cancel(TimerId id) override { loop_.cancel(id); }
     void http(const std::string& address, HttpRequest request, Duration timeout, Reply done) override {
         HttpClient& client = address == settings_.store_address   ? store_
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -30,7 +30,7 @@
 
 Json store_counts(const StoreClient& store) {
     const auto& counts = store.counts();
-    // "order" names the priority class of each entry of the lists "requests" and "writes".
+    // "order" lists the priority classes to which the entries of "requests" and "writes" belong, in order.
     return {{"order", {"lease", "report", "decision", "user"}},
             {"requests", counts.sent_requests},
             {"writes", counts.sent_writes},
--- a/src/autoscaler/arrivals.h
+++ b/src/autoscaler/arrivals.h
@@ -20,7 +20,7 @@
     void record_submission(const Job& job);
     /// Removes the jobs that were submitted too long before `now` to be in the time window.
     void remove_expired_submissions(WallTime now);
-    /// Whether the statistics contain no jobs.
+    /// Returns whether no job submissions are recorded.
     bool empty() const { return arrivals_.empty(); }
     /// The specification of the most recently submitted job.
     const wire::JobSpec& latest_spec() const { return latest_spec_; }
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -140,8 +140,7 @@
 }
 
 // Reads the cloud's machine list page by page, starting with the first machine name greater than
-// `start_after`.
-// `listed` contains the machines on the pages that have already been read.
+// `start_after`. `listed` contains the machines on the pages that have already been read.
 void Autoscaler::read_machine_list(const std::string& start_after, std::set<MachineId> listed) {
     is_reading_list_ = true;
     cloud_.list_machines(start_after, [this, listed = std::move(listed)](
@@ -331,7 +330,7 @@
 }
 
 // Returns whether the inventory contains all machines that an earlier autoscaler leader has provisioned. A
-// new leader assumes so after it has waited for the lag of the cloud's machine list. A leader that was
+// new leader assumes that it does after waiting for the lag of the cloud's machine list. A leader that was
 // elected in the first second of its clock does not wait, because it had no predecessor.
 bool Autoscaler::is_inventory_complete(SteadyTime now) const {
     const Duration catch_up =
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -26,10 +26,13 @@
 // first.
 constexpr double runs_class_cost = 0;
 constexpr double being_preempted_cost = 0.5;
-constexpr double idle_cost = 2;  // minus the share of the demanded images that are cached
+// Cost of an idle machine. The share of the job class's demand whose container images the machine caches is
+// subtracted from it.
+constexpr double idle_cost = 2;
 constexpr double idle_reserved_discount = 0.1;
-constexpr double busy_reserved_cost = 3,
-                 busy_cost = 4;  // the preemption cost in seconds is added to these costs
+// Costs of a busy machine that the last plan had reserved, and of one that it had not. The work that is lost
+// by preempting the machine's tasks, in seconds, is added to the cost.
+constexpr double busy_reserved_cost = 3, busy_cost = 4;
 constexpr double not_preemptible_cost = 1e6;
 }  // namespace
 
--- a/src/autoscaler/gang_reservations.cpp
+++ b/src/autoscaler/gang_reservations.cpp
@@ -6,8 +6,10 @@
 namespace zincdyke::autoscaler {
 namespace {
 constexpr double reservation_delay_s = 8;        // machines are reserved for gangs that wait longer than this
-constexpr std::size_t max_reserved_divisor = 4;  // at most 1/4 of all machines is reserved for gangs
-constexpr double previously_reserved_cost = -1;  // other machines' costs are times, at least 0
+constexpr std::size_t max_reserved_divisor = 4;  // at most 1/4 of all machines are reserved for gangs
+// Cost of a machine that the last plan already reserved for the gang. It is less than the cost of any other
+// machine, which is the time until that machine has free capacity.
+constexpr double previously_reserved_cost = -1;
 
 // Returns the time until a machine has free capacity for one member of a gang, in seconds.
 double time_until_capacity_s(const MachineBin& bin, const Resources& need) {
--- a/src/autoscaler/gang_reservations.h
+++ b/src/autoscaler/gang_reservations.h
@@ -59,7 +59,7 @@
     const ReservationMap& previous_reservations_;
     std::vector<MachineBin>& bins_;
     std::map<JobId, std::vector<MachineBin*>>
-        previously_reserved_bins_;  // machines that the last plan reserved for a gang
+        previously_reserved_bins_;  // machines that the last plan reserved for each gang
     // Machines that may be reserved for a gang, ordered by when they have free capacity for one member.
     std::map<MemberRequirements, std::vector<ReservationCandidate>> candidates_by_requirements_;
 };
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -1,5 +1,5 @@
-/// Inventory of the cluster's machines: provisioned by the autoscaler, listed by the cloud, reported by
-/// controllers, or terminated.
+/// Inventory of the machines that the autoscaler has provisioned, the cloud lists, or controllers report, and
+/// of recently terminated machines.
 #pragma once
 #include <map>
 #include <set>
@@ -14,7 +14,7 @@
 
 namespace zincdyke::autoscaler {
 
-/// Reports on machines that are at least this old are out of date.
+/// A report on a machine is out of date when it has reached this age.
 constexpr Duration max_report_age = std::chrono::seconds(3);
 
 /// A machine that the autoscaler believes to exist in the cloud.
@@ -26,11 +26,11 @@
     /// The machine's age at `first_seen_at` according to the cloud's machine list, in seconds; 0 if the
     /// machine was not listed then.
     double listed_age_s = 0;
-    bool has_sent_heartbeat = false;  ///< Whether a controller has ever received a heartbeat from it.
+    bool has_sent_heartbeat = false;  ///< Whether any controller has received a heartbeat from the machine.
     bool is_terminating = false;      ///< Whether the cloud has been requested to terminate the machine.
     std::string address;              ///< The worker's address in the cloud's list; empty: none.
-    /// Since when the machine has been running without a recent report of a heartbeat from it; 0: such a
-    /// report has been received, or the machine is not running.
+    /// Start of the current period in which the machine is running but its leader has not recently reported a
+    /// heartbeat from it; 0: there is no such period.
     SteadyTime no_heartbeat_since{};
     SteadyTime drain_requested_at{};  ///< When the machine's drain was last requested; 0: never.
 };
@@ -56,7 +56,7 @@
     const MachineReport* find_report(const MachineId& id) const;
     /// Returns the latest report on a machine; null if there is none or it is out of date.
     const MachineReport* recent_report(const MachineId& id, SteadyTime now) const;
-    /// Whether a report is younger than `max_report_age`.
+    /// Returns whether a report on a machine is younger than `max_report_age`.
     static bool is_recent_report(const MachineReport& report, SteadyTime now);
     /// Whether the cloud has recently confirmed the machine's termination. Its machine list may still contain
     /// the machine.
--- a/src/autoscaler/preemption.cpp
+++ b/src/autoscaler/preemption.cpp
@@ -39,9 +39,10 @@
     std::erase_if(preempted_at_, [&](const auto& entry) { return now - entry.second > preemption_timeout; });
 }
 
-// Only array tasks of lower rank are preempted. A task that can save a checkpoint in time loses no work. Any
-// other task is preempted only shortly after its start: most of its time was then spent on fetching an image,
-// which stays cached.
+// Besides service replicas, the machine may run only array tasks of lower rank than the reservation. A task
+// that can save a checkpoint in time loses no work. A task that cannot may be preempted only during the first
+// `max_lost_work_s` seconds after its placement, when little work is lost: part of that time was spent on
+// fetching its container image, which stays cached on the machine.
 std::optional<double> Preemptor::preemption_cost_s(const MachineBin& machine, const wire::JobSpec& spec,
                                                    const sched::Reservation& reservation) const {
     const wire::MachineType* type = state_cache_.machine_type(machine.type);
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -15,7 +15,8 @@
 // Share of the cloud's request rate limit that is used to provision machines. The remaining requests list or
 // terminate machines.
 constexpr double provision_share_of_calls = 0.25;
-constexpr double provision_retry_s = 2;  // pause before the same kind of machine is requested again
+// After a failed provisioning request, the same kind of machine is not requested for this time.
+constexpr double provision_retry_s = 2;
 // After a provisioning request with unknown outcome, the same kind of machine is not requested for this
 // multiple of the lag of the cloud's machine list. By then the list contains any machines that the request
 // provisioned.
--- a/src/base/env.h
+++ b/src/base/env.h
@@ -29,9 +29,11 @@
     static HttpResponse bad_request(std::string body = "{}") { return {400, std::move(body)}; }
     static HttpResponse not_found(std::string body) { return {404, std::move(body)}; }
     static HttpResponse method_not_allowed(std::string body = "{}") { return {405, std::move(body)}; }
-    /// Status 421: the client must send the request to another controller.
+    /// Returns a response with status 421 (Misdirected Request): the client must send the request to another
+    /// controller.
     static HttpResponse misdirected(std::string body = "{}") { return {421, std::move(body)}; }
-    /// Status 422: the request is well-formed, but can never be fulfilled.
+    /// Returns a response with status 422 (Unprocessable Content): the request is well-formed, but can never
+    /// be fulfilled.
     static HttpResponse unprocessable(std::string body) { return {422, std::move(body)}; }
     static HttpResponse service_unavailable(std::optional<int> retry_after_s = std::nullopt,
                                             std::string body = "{}") {
@@ -41,16 +43,17 @@
 /// Callback that receives the response to one HTTP request.
 using Reply = std::function<void(HttpResponse)>;
 
-/// Clocks, timers, HTTP requests, messages to peers and random numbers. The epoll event loop implements it in
-/// production, and an in-memory simulation in tests. All callbacks run on the event-loop thread, and never
-/// before the call that registered them has returned.
+/// The interface through which a controller uses clocks, timers, HTTP, messages to other controllers and
+/// random numbers. In production it is implemented by RealEnv on the epoll event loop, and in tests by an
+/// in-memory simulation. Each callback runs on the event-loop thread, after the function that it was passed
+/// to has returned.
 class Env {
   public:
     using TimerId = std::uint64_t;
     virtual ~Env() = default;
     /// Returns the current time of the monotonic clock.
     virtual SteadyTime now() = 0;
-    /// Returns the current time of day.
+    /// Returns the current wall-clock time, which is the time of day.
     virtual WallTime wall() = 0;
     /// Calls `fn` once after `delay`. The returned id can be passed to `cancel`.
     virtual TimerId after(Duration delay, std::function<void()> fn) = 0;
@@ -58,7 +61,8 @@
     virtual void cancel(TimerId id) = 0;
     /// Sends an HTTP request. `done` is called exactly once, with status 0 if no response arrives in time.
     virtual void http(const std::string& address, HttpRequest request, Duration timeout, Reply done) = 0;
-    /// Sends an encoded message to a peer. It may be lost; messages of one connection arrive in order.
+    /// Sends an encoded message to a peer. The message may be lost; messages of one connection arrive
+    /// in order.
     virtual void send_peer(const NodeName& to, std::string message) = 0;
     virtual std::mt19937_64& rng() = 0;
 };
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -12,7 +12,7 @@
 namespace zincdyke {
 
 /// Thrown if the settings file cannot be read or has a missing or invalid value. `what()` is the message for
-/// the operator: it names the key and the allowed values.
+/// the operator: it contains the key and the allowed values.
 class SettingsError : public std::runtime_error {
   public:
     enum class Code : std::uint8_t {
@@ -39,7 +39,7 @@
     std::string zone, address;
 };
 /// A team and its quota: guaranteed amounts of CPU and GPU and their limits, all in thousandths. A limit of 0
-/// means that there is none.
+/// means that the resource is not limited.
 struct Team {
     TeamName name;
     std::int64_t cpu = 0, cpu_max = 0, gpu = 0, gpu_max = 0;
@@ -74,10 +74,11 @@
     double heartbeat_interval_s = 0;  ///< Interval between the heartbeats of a worker.
     double lease_s = 0;               ///< Duration of a worker's lease.
     double gang_wait_s = 0;           ///< Time that a gang's task waits on its worker for the other tasks.
-    double gang_peer_timeout_s = 0;   ///< Time after which a gang's task ends if another one is lost.
-    double cancel_s = 0;              ///< Time within which the tasks of a cancelled job must stop.
-    double store_rps = 0;             ///< Requests per second that the key-value store accepts.
-    StoreLimits store_limits;         ///< The limits currently in force.
+    double gang_peer_timeout_s =
+        0;                     ///< Time after which a gang's task ends if another task of the gang is lost.
+    double cancel_s = 0;       ///< Time within which the tasks of a cancelled job must stop.
+    double store_rps = 0;      ///< Requests per second that the key-value store accepts.
+    StoreLimits store_limits;  ///< The limits currently in force.
     /// The lower of each current limit and its announced successor (`params.state.next`); equal to the
     /// current limits if no successor is announced. All writes respect these limits, because the key-value
     /// store may switch to the announced limits at any time.
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -9,8 +9,8 @@
 
 namespace zincdyke {
 
-/// A name of one kind, such as a job id. Each tag type makes a distinct type, so that the compiler rejects a
-/// name of another kind.
+/// A name or id, such as a job id. Each tag type makes a distinct type, so that the compiler rejects, for
+/// example, a machine id where a job id is required.
 template <class Tag>
 class Name {
   public:
--- a/src/loop/http_client.cpp
+++ b/src/loop/http_client.cpp
@@ -165,7 +165,7 @@
     if ((events & (EPOLLIN | EPOLLHUP)) != 0) receive(connection);
 }
 
-// Returns false if the connection could not be established.
+// Completes a non-blocking connect. Returns false if the connection could not be established.
 bool HttpClient::finish_connect(Connection& connection) {
     if (connection.connected) return true;
     int error = 0;
@@ -209,7 +209,7 @@
 // Passes a complete response to the caller and reuses the connection for the next call if it stays open.
 void HttpClient::complete(const ConnectionPtr& connection) {
     const CallPtr call = std::exchange(connection->call, nullptr);
-    HttpResponse response{connection->parser.status(), std::move(connection->parser.body), -1};
+    HttpResponse response{connection->parser.status_code(), std::move(connection->parser.body), -1};
     const bool keep_alive = connection->parser.keep_alive();
     connection->parser.reset();
     connection->last_used_at = Loop::now();
--- a/src/loop/http_message.cpp
+++ b/src/loop/http_message.cpp
@@ -20,7 +20,7 @@
     body.clear();
     started_ = complete_ = too_large_ = false;
     keep_alive_ = true;
-    status_ = 0;
+    status_code_ = 0;
     head_bytes_ = 0;
 }
 
@@ -65,7 +65,7 @@
     HttpMessageParser& self = parser_of(parser);
     self.complete_ = true;
     self.keep_alive_ = http_should_keep_alive(parser) != 0;
-    self.status_ = static_cast<int>(parser->status_code);
+    self.status_code_ = static_cast<int>(parser->status_code);
     if (self.kind_ == Kind::request) self.method = http_method_str(static_cast<http_method>(parser->method));
     http_parser_pause(parser, 1);
     return 0;
--- a/src/loop/http_message.h
+++ b/src/loop/http_message.h
@@ -37,7 +37,7 @@
     /// complete.
     bool keep_alive() const { return keep_alive_; }
     /// Returns the HTTP status code of a complete response.
-    int status() const { return status_; }
+    int status_code() const { return status_code_; }
 
     std::string method, target, body;
 
@@ -51,7 +51,7 @@
     http_parser parser_{};
     Kind kind_;
     bool started_ = false, keep_alive_ = true, complete_ = false, too_large_ = false;
-    int status_ = 0;
+    int status_code_ = 0;
     std::size_t max_body_bytes_, head_bytes_ = 0;
 };
 
--- a/src/loop/http_server.cpp
+++ b/src/loop/http_server.cpp
@@ -122,8 +122,8 @@
     loop_.update_events(listener_.get(), EPOLLIN);
 }
 
-// Closes the connection that has been idle longest, so that heartbeats and health checks get through when all
-// workers connect to one controller. Returns false if no connection has been idle long enough.
+// Closes the connection that has been idle longest, so that heartbeats and health checks are accepted when
+// all workers connect to one controller. Returns false if no connection has been idle long enough.
 bool HttpServer::evict_longest_idle() {
     ConnectionPtr longest;
     for (const auto& [fd, connection] : connections_)
--- a/src/loop/peer_links.h
+++ b/src/loop/peer_links.h
@@ -33,7 +33,7 @@
         bool connected = false;
         // Whether the latest frame was dropped because it was too large or the buffer was full.
         bool is_dropping = false;
-        // Time of the latest connect, disconnect or send, or when data was added to an empty buffer.
+        // Time of the latest connect, disconnect or send, or of adding data to an empty buffer.
         SteadyTime last_progress_at{};
     };
     // A connection from one peer, for receiving.
--- a/src/wire/json_api.cpp
+++ b/src/wire/json_api.cpp
@@ -16,13 +16,13 @@
     return static_cast<std::int64_t>(std::floor(number * 1000 + 1e-6));
 }
 
-// Returns the field's value; nullptr if the field is missing or null.
+// Returns the value of the field `key` of a JSON object; nullptr if the field is missing or null.
 const Json* find(const Json& object, const char* key) {
     auto it = object.find(key);
     return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-// Reports malformed input; thrown and caught only in this file.
+// Exception for malformed input; thrown and caught only in this file.
 struct MalformedInput {
     std::string message, field = {};
     SubmissionError::Code code = SubmissionError::Code::invalid_field;
@@ -136,8 +136,9 @@
     return {JobId(name.substr(0, slash)), index};
 }
 
-// Parses `body` and passes it to `fn`. Malformed input is returned as an error: no exception leaves this
-// package, because malformed input from another process is not a failure of this one.
+// Parses `body`, passes it to `fn` and returns the result of `fn`. Malformed input is returned as an error:
+// no exception leaves this package, because malformed input from another process is not a failure of this
+// one.
 template <class Fn>
 auto parse_or_error(std::string_view body, Fn fn) -> tl::expected<decltype(fn(Json())), SubmissionError> {
     using Code = SubmissionError::Code;
@@ -152,7 +153,7 @@
     }
 }
 
-// Parses `body` and passes it to `fn`; nullopt if the input is malformed.
+// Parses `body`, passes it to `fn` and returns the result of `fn`; nullopt if `body` is malformed.
 template <class Fn>
 auto parse_or_nullopt(std::string_view body, Fn fn) -> std::optional<decltype(fn(Json()))> {
     auto parsed = parse_or_error(body, fn);
--- a/src/wire/json_api.h
+++ b/src/wire/json_api.h
@@ -112,8 +112,8 @@
     }
     auto operator<=>(const FencingToken&) const = default;
 };
-/// The position of a heartbeat among those of one worker: a larger value is newer. The fields are `tenure`
-/// and `tick` on the wire. A worker starts a new agent epoch when its lease expires.
+/// The position of a heartbeat in the sequence of one worker's heartbeats: a larger value is newer. The
+/// fields are `tenure` and `tick` on the wire. A worker starts a new agent epoch when its lease expires.
 struct HeartbeatSequence {
     std::uint64_t agent_epoch = 0, number = 0;
     auto operator<=>(const HeartbeatSequence&) const = default;
@@ -131,9 +131,10 @@
 /// Parses the body of a heartbeat request; nullopt if it is malformed.
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
-/// The kind of a command to a worker; `run`, `halt` and `clear` on the wire.
+/// What a worker must do with a task attempt: start it, stop it, or forget it after it has ended. On the
+/// wire, the values are `run`, `halt` and `clear`.
 enum class CommandKind : std::uint8_t { start, stop, forget };
-/// A command to a worker about one task attempt.
+/// A command from a controller to a worker, about one task attempt.
 struct Command {
     CommandKind kind = CommandKind::start;
     TaskRef task;
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -25,7 +25,7 @@
     auto operator<=>(const RoundId&) const = default;
 };
 
-/// The first message on a connection; names the sender.
+/// The first message on a connection between controllers, with the name of the sender.
 struct Hello {
     NodeName node;
     std::uint64_t incarnation = 0;
@@ -65,7 +65,7 @@
     std::uint32_t write_demand = 0;
     std::vector<MachineStatus> machines;
 };
-/// Sent by the relay to every scorer: asks for machines for tasks of a job.
+/// Sent by the relay to every scorer, to request machines for tasks of a job.
 struct PlacementRequest {
     RoundId round;
     JobId job;
@@ -109,12 +109,12 @@
     JobId job;
     std::vector<TaskIndex> tasks;
 };
-/// Sent by the autoscaler to a machine's leader: place no more tasks on the machine, so that it can be
-/// terminated.
+/// Sent by the autoscaler to a machine's leader. The leader then places no more tasks on the machine, so that
+/// the machine can be terminated.
 struct DrainRequest {
     MachineId machine;
 };
-/// Sent by the leader in response to a DrainRequest: the machine has no tasks and accepts none.
+/// Sent by a machine's leader in response to a DrainRequest, when the machine has no tasks and accepts none.
 struct DrainResponse {
     MachineId machine;
 };
@@ -135,12 +135,13 @@
 /// Sent by the autoscaler to the machines' leaders: replaces all earlier reservations. A long list is split
 /// over several messages.
 struct ReservationUpdate {
-    /// Whether this is the first message of the list. The receiver then discards all earlier reservations.
+    /// Whether this message contains the first part of the list; the receiver of the first part discards all
+    /// earlier reservations.
     bool is_first = true;
     std::vector<ReservedMachine> machines;
 };
-/// Sent by the autoscaler to a machine's leader: preempt the task for work of higher rank. The task gets time
-/// to save its progress.
+/// Sent by the autoscaler to a machine's leader. The leader then preempts the task for work of higher rank,
+/// and gives the task time to save its progress.
 struct PreemptionRequest {
     JobId job;
     TaskIndex task = 0;
@@ -172,12 +173,12 @@
     JobId job;
     std::vector<TaskOperation> operations;
 };
-/// The outcome of one operation.
+/// The outcome of one TaskOperation of a CommitRequest.
 struct OperationResult {
     std::uint64_t request_id = 0;
     bool is_committed = false;
 };
-/// The state of a record after a commit.
+/// A record of the key-value store, as it is after a commit.
 struct StoredRecord {
     std::string key, value;  ///< The value is JSON text; empty if the record was deleted.
     std::uint64_t version = 0;
@@ -199,7 +200,8 @@
 struct JobCancelledNotification {
     JobId job;
 };
-/// Any message between controllers. The position of a type in this list is its kind byte in the encoding.
+/// Any message between controllers. The position of a message type in this list is the byte that encodes the
+/// type in a frame.
 using PeerMessage =
     std::variant<Hello, PeerHeartbeat, PlacementRequest, PlacementResponse, PlacementDecision,
                  PlacementFailure, DrainRequest, DrainResponse, MachinesTerminatedNotification,
@@ -209,7 +211,7 @@
 /// Returns the complete frame of a message, including the length field.
 std::string encode(const PeerMessage& message);
 /// Decodes a frame without its length field. Returns nullopt if the frame is truncated or oversized, or if
-/// its version or kind is unknown.
+/// its version or message type is unknown.
 std::optional<PeerMessage> decode(std::string_view payload);
 
 }  // namespace zincdyke::wire
--- a/tests/behaviour/behaviour_trace.cpp
+++ b/tests/behaviour/behaviour_trace.cpp
@@ -1,4 +1,5 @@
-// Runs seeded scenarios and writes a trace file of the messages of each. See tests/compare_behaviour.sh.
+// Runs seeded scenarios and writes a trace file with the messages of each scenario. See
+// tests/compare_behaviour.sh.
 #include <spdlog/spdlog.h>
 
 #include <array>
--- a/tests/fakes/controller_hosts.h
+++ b/tests/fakes/controller_hosts.h
@@ -65,12 +65,12 @@
     /// Delivers a frame that a peer sent to the controller `to`.
     void deliver_frame(const NodeName& from, const NodeName& to, const std::string& frame);
     /// Delivers an HTTP request to a running controller. All requests to controllers use this function.
-    /// `from` names the sender for the message recorder.
+    /// `from` is the sender's name, for the message recorder.
     void request(std::size_t host, const std::string& from, const HttpRequest& request, Reply reply);
 
     /// Returns the maximum number of requests to workers that a controller had open at the same time.
     [[nodiscard]] std::size_t max_open_worker_requests() const { return max_open_worker_requests_; }
-    /// Updates the maximum number of open requests to workers.
+    /// Records that a controller has `count` requests to workers open, for `max_open_worker_requests`.
     void note_open_worker_requests(std::size_t count);
 
     // Shared objects for the environments (SimEnv) of the controllers.
--- a/tests/fakes/key_value_store.h
+++ b/tests/fakes/key_value_store.h
@@ -75,16 +75,20 @@
     std::vector<HttpRequest> recorded_commits;
 
   private:
+    /// A lease of the store. Its keys are deleted when it expires.
     struct Lease {
-        double expires_at = 0, duration_s = 0;
+        double expires_at = 0;
+        double duration_s = 0;  // time from the grant or a renewal of the lease until its expiry
         std::set<std::string> keys;
     };
+    /// A client's request for changes of keys with a prefix, which awaits its response.
     struct Watch {
         std::string prefix, from;
         std::uint64_t after = 0;  // latest revision that the watch's client has received
         double expires_at = 0;
         Reply reply;
     };
+    /// A write or deletion of one key, kept for responses to watch requests.
     struct Change {
         std::string key;
         std::optional<Json> value;  // new value of the key; empty if it was deleted
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -32,8 +32,8 @@
     std::string id, address, type, zone;
     bool spot = false;
     bool alive = true;    ///< Whether the machine runs; false after a crash.
-    bool hung = false;    ///< The agent is suspended while its lease continues to run.
-    bool faulty = false;  ///< All tasks on the machine fail.
+    bool hung = false;    ///< Whether the agent is suspended; its lease can still expire.
+    bool faulty = false;  ///< Whether all tasks on the machine fail.
     double created_at = 0;
     std::optional<double> preemption_at;  ///< Announced time of spot preemption; empty: not announced.
 
