--- a/src/autoscaler/arrivals.cpp
+++ b/src/autoscaler/arrivals.cpp
@@ -5,7 +5,8 @@
 namespace zincdyke::autoscaler {
 namespace {
 constexpr std::int64_t window_ms = 240'000;
-// Minimum length of the time window. A submission rate over a shorter time would be unreliable.
+// Minimum length of the time window over which submissions are averaged. A submission rate over a shorter
+// time would be unreliable.
 constexpr double min_window_s = 30;
 constexpr std::size_t max_arrivals = 500;
 }  // namespace
--- a/src/autoscaler/arrivals.h
+++ b/src/autoscaler/arrivals.h
@@ -40,7 +40,7 @@
     double window_s(WallTime now) const;
 
     wire::JobSpec latest_spec_;
-    std::map<std::pair<WallTime, JobId>, Arrival> arrivals_;  // keyed by submission time
+    std::map<std::pair<WallTime, JobId>, Arrival> arrivals_;  // by submission time and job id
     WallTime first_submitted_;                                // submission time of the first recorded job
 };
 
--- a/src/autoscaler/class_reservations.h
+++ b/src/autoscaler/class_reservations.h
@@ -49,7 +49,7 @@
     bool can_reserve_machine(const MachineBin& bin, const wire::MachineType* type,
                              const wire::JobSpec& spec) const;
     struct ClassCandidates {
-        std::vector<ReservationCandidate> machines;  // ordered by cost
+        std::vector<ReservationCandidate> machines;  // candidate machines, ordered by cost
         std::size_t running_class_count = 0;         // number of machines that run tasks of the job class
     };
 
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -12,7 +12,7 @@
 
 namespace zincdyke::autoscaler {
 namespace {
-constexpr std::size_t max_planned_tasks = 50'000;  // keeps a plan from blocking the event loop
+constexpr std::size_t max_planned_tasks = 50'000;  // limits how long planning blocks the event loop
 constexpr double boot_margin_s = 0.1;  // tolerance when a maximum wait is compared with a boot time
 
 double fetch_time_s(const wire::JobSpec& spec, const wire::MachineType& type) {
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -156,7 +156,7 @@
 }  // namespace
 
 Settings::Sockets Settings::sockets() const {
-    constexpr std::size_t internal = 16;  // epoll descriptor, listening sockets, standard streams
+    constexpr std::size_t internal = 16;  // epoll descriptor, listening sockets and standard streams
     const std::size_t total = max_sockets;
     Sockets division;
     division.store = std::clamp<std::size_t>(total / 8, 4, 16);
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -74,11 +74,10 @@
     double heartbeat_interval_s = 0;  ///< Interval between the heartbeats of a worker.
     double lease_s = 0;               ///< Duration of a worker's lease.
     double gang_wait_s = 0;           ///< Time that a gang's task waits on its worker for the other tasks.
-    double gang_peer_timeout_s =
-        0;                     ///< Time after which a gang's task ends if another task of the gang is lost.
-    double cancel_s = 0;       ///< Time within which the tasks of a cancelled job must stop.
-    double store_rps = 0;      ///< Requests per second that the key-value store accepts.
-    StoreLimits store_limits;  ///< The limits currently in force.
+    double gang_peer_timeout_s = 0;   ///< Time until a gang's task ends after another member is lost.
+    double cancel_s = 0;              ///< Time within which the tasks of a cancelled job must stop.
+    double store_rps = 0;             ///< Requests per second that the key-value store accepts.
+    StoreLimits store_limits;         ///< The limits currently in force.
     /// The lower of each current limit and its announced successor (`params.state.next`); equal to the
     /// current limits if no successor is announced. All writes respect these limits, because the key-value
     /// store may switch to the announced limits at any time.
@@ -89,8 +88,9 @@
     double memory_mb = 0;         ///< Memory that this process may use.
     std::uint32_t max_sockets = 1024;
 
-    /// Division of `max_sockets` by use. Outgoing connections and peer links come first; `server` is the
-    /// number of incoming connections, from users and workers, that the remaining sockets allow.
+    /// Division of `max_sockets` by use. Outgoing connections and peer links are allotted sockets first;
+    /// `server` is the number of incoming connections, from users and workers, that the remaining sockets
+    /// allow.
     struct Sockets {
         std::size_t store = 0, cloud = 0, workers = 0, peers = 0, server = 0;
     };
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -28,7 +28,7 @@
 /// The first message on a connection between controllers, with the name of the sender.
 struct Hello {
     NodeName node;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0;  ///< Not used; senders set it to 0.
 };
 /// The state of one machine, as reported by its leader.
 struct MachineStatus {
--- a/tests/fakes/sim_env.cpp
+++ b/tests/fakes/sim_env.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-constexpr double steady_clock_start_s = 1000;  // differs from the wall clock's origin, as on a real host
+// Time of the steady clock at the start of a simulation. It differs from that of the wall clock, as on a real
+// host.
+constexpr double steady_clock_start_s = 1000;
 
 }  // namespace
 
--- a/tests/fakes/task_runner.h
+++ b/tests/fakes/task_runner.h
@@ -27,8 +27,8 @@
     /// Executes a leader's commands, given as the JSON array of the protocol: start a task, stop it, or
     /// remove an ended one.
     void execute(FakeWorker& worker, const Json& commands);
-    /// Removes all tasks from a worker whose machine has crashed or whose lease has expired. The machine's
-    /// leader receives no report about these tasks.
+    /// Removes all tasks from a worker whose machine has crashed or been terminated, or whose lease has
+    /// expired. The machine's leader receives no report about these tasks.
     void drop_all(FakeWorker& worker);
     /// Returns the number of the job's tasks that have completed successfully.
     [[nodiscard]] std::size_t completed_tasks(const std::string& job) { return completed_tasks_[job].size(); }
