--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -23,7 +23,7 @@
 Json commit_counts(const TaskCommitter& committer) {
     const auto& counts = committer.counts();
     return {{"commits", counts.sent_transactions},       {"pages", counts.written_pages},
-            {"starts", counts.committed_starts},         {"ends", counts.committed_ends},
+            {"starts", counts.committed_task_starts},    {"ends", counts.committed_task_ends},
             {"conflicts", counts.transaction_conflicts}, {"forwarded", counts.forwarded_operations},
             {"reclaimed", counts.reclaimed_operations}};
 }
--- a/src/cluster/autoscaler_election.h
+++ b/src/cluster/autoscaler_election.h
@@ -12,9 +12,9 @@
 
 /// Makes this controller a candidate for autoscaler leader whenever no live controller holds that role.
 ///
-/// One record in the key-value store names the autoscaler leader. The record is attached to the leader's
-/// session lease, so the store deletes it when the session expires. Candidates write the record with a
-/// compare-and-swap on its version, so at most one of them wins.
+/// One record in the key-value store contains the name of the autoscaler leader. The record is attached to
+/// the leader's session lease, so the store deletes it when the session expires. Candidates write the record
+/// with a compare-and-swap on its version, so at most one of them wins.
 class AutoscalerElection {
   public:
     /// All constructor arguments must outlive the AutoscalerElection.
@@ -25,8 +25,8 @@
     /// leader record to `session_lease_id`, the lease of this controller's session. Must be called
     /// periodically while the state cache is up to date and the session is open.
     void campaign_if_vacant(std::uint64_t session_lease_id);
-    /// Returns whether the state cache names this controller as autoscaler leader. The caller must also check
-    /// that the session is open and the state cache is up to date before it acts as leader.
+    /// Returns whether this controller is the autoscaler leader according to the state cache. The caller must
+    /// also check that the session is open and the state cache is up to date before it acts as leader.
     [[nodiscard]] bool is_elected() const;
 
   private:
@@ -34,7 +34,7 @@
         idle,
         awaiting_result,
         // The commit of the leader record has completed, but the watch may not have delivered the record yet.
-        // No candidacy starts meanwhile, because the state cache still shows no leader.
+        // No candidacy starts in this state, because the state cache may not show the new leader yet.
         awaiting_watch
     };
     void campaign(std::uint64_t session_lease_id);
--- a/src/cluster/cache_freshness.h
+++ b/src/cluster/cache_freshness.h
@@ -41,14 +41,14 @@
     void on_invalidated() {
         if (!is_list_in_progress()) state_ = State::stale;
     }
-    /// Returns whether a watch must be sent to refresh a stale state cache, and if so records that one is in
-    /// flight.
+    /// Returns whether a watch must be sent to refresh a stale state cache, and if so records that this watch
+    /// is in flight.
     [[nodiscard]] bool begin_catch_up() {
         if (state_ != State::stale) return false;
         state_ = State::catching_up;
         return true;
     }
-    /// Ends a refresh of the state cache, if one is in flight, and returns whether that was the case. To be
+    /// Ends a refresh of the state cache by a watch; returns whether such a refresh was in flight. To be
     /// called when a watch has completed or failed. The cache remains stale until `on_caught_up` is called.
     [[nodiscard]] bool end_catch_up() {
         if (state_ != State::catching_up) return false;
--- a/src/cluster/cancellation_watermark.cpp
+++ b/src/cluster/cancellation_watermark.cpp
@@ -5,15 +5,16 @@
 namespace zincdyke {
 namespace {
 constexpr Duration lag_timeout = std::chrono::seconds(4);
-// Limits the cancelled jobs listed in one acknowledgement, so that it always fits into a peer frame. A longer
-// list is truncated and marked as incomplete, and the receiver then does not advance its watermark.
+// Maximum number of cancelled jobs listed in one acknowledgement, so that the acknowledgement always fits
+// into one frame of the peer protocol. A longer list is truncated and marked as incomplete, and an incomplete
+// list does not advance the receiver's watermark.
 constexpr std::size_t max_listed_cancellations = 12'000;
 constexpr Duration min_renewal_window = std::chrono::seconds(3);
 
 Duration renewal_window_of(const Settings& settings) {
-    // The factors allow for a drift of 0.05% of either clock, with a margin; the subtracted second covers
-    // timer granularity and responses in flight. If `lease_s` is close to `cancel_s` or longer, lease expiry
-    // cannot stop tasks in time, and only stop commands do.
+    // The factors 0.998 and 1.002 allow for clocks that drift by up to 0.05%, with a margin. The subtracted
+    // second covers timer granularity and responses in flight. If `lease_s` is close to `cancel_s` or longer,
+    // lease expiry cannot stop a cancelled job's tasks in time; only stop commands can.
     return std::max(min_renewal_window, seconds(settings.cancel_s * 0.998 - settings.lease_s * 1.002 - 1));
 }
 
@@ -51,7 +52,7 @@
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return ack;
     ack.echoed_epoch = found->second.process_epoch;
-    ack.echoed_timestamp = found->second.latest_timestamp;
+    ack.echoed_timestamp = found->second.latest_peer_timestamp;
     if (!ack.is_lagging && !found->second.is_lagging) return ack;
     for (const auto& [id, job] : state_cache_.jobs())
         if (job.cancelled) ack.cancelled.push_back(id);
@@ -67,11 +68,11 @@
         peer.process_epoch = ack.sender_epoch;
         peer.first_received_at = env_.now();
     }
-    peer.latest_timestamp = std::max(peer.latest_timestamp, ack.sent_timestamp);
+    peer.latest_peer_timestamp = std::max(peer.latest_peer_timestamp, ack.sent_timestamp);
     peer.is_lagging = ack.is_lagging;
     for (const auto& id : ack.cancelled) state_cache_.mark_cancelled(id);
-    // The echoed timestamp, not the arrival time, dates the acknowledgement, because a message may arrive
-    // minutes late.
+    // The echoed timestamp, not the arrival time, determines how recent the acknowledgement is, because a
+    // message may arrive minutes late.
     if (!ack.is_complete || ack.echoed_epoch != process_epoch_) return;
     peer.acknowledged_until = std::max(peer.acknowledged_until, from_timestamp(ack.echoed_timestamp));
     advance_by_acknowledgements();
--- a/src/cluster/cancellation_watermark.h
+++ b/src/cluster/cancellation_watermark.h
@@ -28,8 +28,8 @@
     /// because a cancellation is committed to the store before a user receives the confirmation.
     void on_state_read(SteadyTime sent_at);
     /// Returns the acknowledgement to include in the next heartbeat to `peer`. It echoes the latest timestamp
-    /// received from that peer. While either controller's watermark lags, it also lists all unfinished jobs
-    /// that this controller knows to be cancelled.
+    /// received from that peer. While either controller's watermark lags, the acknowledgement also lists all
+    /// unfinished jobs that this controller knows to be cancelled.
     [[nodiscard]] wire::CancellationAck acknowledgement_for(const NodeName& peer) const;
     /// Processes the acknowledgement in a heartbeat from the controller `from`. Once every other controller
     /// has echoed a timestamp of T or later, the watermark advances to T, even if the key-value store is
@@ -41,8 +41,8 @@
     /// least once, and the current time is before `watermark() + renewal_window()`. Every response that
     /// renews a lease must also stop the worker's tasks whose jobs are known to be cancelled.
     [[nodiscard]] bool may_renew_leases() const;
-    /// Returns whether the cancellation watermark is more than 4 s old. If so, the acknowledgements from
-    /// peers list the cancellations that they know.
+    /// Returns whether the cancellation watermark is more than 4 s old. While it is, the acknowledgements
+    /// that peers send to this controller list the cancellations that the peers know.
     [[nodiscard]] bool is_lagging() const;
     /// Returns the cancellation watermark; the zero time before the first read of the key-value store.
     [[nodiscard]] SteadyTime watermark() const { return watermark_; }
@@ -56,10 +56,10 @@
     /// know which cancellations its predecessor confirmed, so its acknowledgements count only after the
     /// watermark has passed `first_received_at`.
     struct Peer {
-        std::uint64_t process_epoch = 0;  // random number chosen by each process at startup
+        std::uint64_t process_epoch = 0;  // random number that the peer's process chose at startup
         SteadyTime first_received_at{};   // arrival time of the first acknowledgement from this process
         SteadyTime acknowledged_until{};  // time up to which all cancellations the peer confirmed are known
-        std::uint64_t latest_timestamp = 0;  // latest reading of the peer's clock, echoed back to it
+        std::uint64_t latest_peer_timestamp = 0;  // latest time on the peer's clock received from the peer
         bool is_lagging = false;
     };
     void advance_by_acknowledgements();
--- a/src/cluster/cluster_coordinator.cpp
+++ b/src/cluster/cluster_coordinator.cpp
@@ -50,7 +50,8 @@
     env_.after(review_interval, [this] { review_leaderships(); });
     if (!is_up_to_date() || !session_keeper_.is_open()) return;
     // The session record may be missing although the session is open: a delayed commit from an earlier
-    // process of this controller can attach the record to an old lease, whose expiry then deletes it.
+    // process of this controller can attach the record to an old lease, and the expiry of that lease deletes
+    // the record.
     if (!is_live(settings_.node)) return session_keeper_.restore_record();
     shard_leadership_.claim_shards(incarnation());
     autoscaler_election_.campaign_if_vacant(session_keeper_.lease_id());
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -22,10 +22,12 @@
 
 namespace zincdyke {
 
-/// Provides the rest of a controller with the cluster's membership, the leaderships and fresh reads.
+/// Provides the other components of a controller with the live controllers, the leaderships of shards and of
+/// the autoscaler, and up-to-date reads of the state.
 ///
-/// It owns the classes that keep the session, the state cache and the leaderships current, and periodically
-/// claims the shards that this controller should lead. All of it runs on the event loop.
+/// The coordinator owns the classes that keep the session, the state cache and the leaderships current, and
+/// periodically claims the shards that this controller should lead. All of its functions run on the event
+/// loop.
 class ClusterCoordinator {
   public:
     /// All constructor arguments must outlive the ClusterCoordinator.
@@ -60,8 +62,8 @@
     [[nodiscard]] std::optional<Term> leader_term(const MachineId& machine) const {
         return term(state_cache_.shard_of(machine));
     }
-    /// Returns the leader of the machine's shard if that is another controller and is alive, otherwise
-    /// nothing. The machine's worker should send its heartbeats there.
+    /// Returns the leader of the machine's shard, to which its worker should send heartbeats; nothing if this
+    /// controller leads the shard or the leader is not alive.
     [[nodiscard]] std::optional<NodeName> leader_of(const MachineId& machine) const;
     /// Transfers leadership of a shard to another live controller, for use when no heartbeats arrive from the
     /// shard's workers. This controller reclaims the shard at the earliest after three worker lease
--- a/src/cluster/cluster_observer.h
+++ b/src/cluster/cluster_observer.h
@@ -1,4 +1,4 @@
-/// Events that the cluster coordination reports to the rest of a controller.
+/// Interface through which ClusterCoordinator reports events to the other components of a controller.
 #pragma once
 #include <cstdint>
 
--- a/src/cluster/format_level.cpp
+++ b/src/cluster/format_level.cpp
@@ -52,14 +52,14 @@
                             "format_registered");
     if (missing.size() != logged_missing_count_) log::info("event=format_level_waits for={}", join(missing));
     logged_missing_count_ = missing.size();
-    // One controller picked by hash commits the raise, to avoid conflicts. A duplicate commit would be
-    // harmless, because it is conditional on the version read.
+    // Only one controller, picked by hash, commits the higher format level, which avoids commit conflicts. A
+    // second commit would be harmless, because each is conditional on the record version in the cache.
     if (missing.empty() && pick_by_hash(keys::fleet_format_level, cluster_.live_nodes()) == settings_.node)
         commit_level(keys::fleet_format_level, highest_supported, "format_level_raised");
 }
 
-// If the commit gets no response, the watch eventually shows whether it was executed. The next attempt is
-// conditional on the record's current version.
+// Commits `level` to the format-level record `key`. If the store does not respond, the watch eventually shows
+// whether the commit was executed. A retry is conditional on the record's current version.
 void FormatLevel::commit_level(const std::string& key, std::uint32_t level, const char* event) {
     is_commit_in_flight_ = true;
     Transaction txn;
--- a/src/cluster/format_level.h
+++ b/src/cluster/format_level.h
@@ -1,4 +1,4 @@
-/// The format level: which record formats controllers write during a rolling upgrade.
+/// The format level, which determines the record formats that controllers write during a rolling upgrade.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,15 +14,16 @@
 
 /// Raises the fleet-wide format level once every controller supports the next level.
 ///
-/// Each controller durably registers the highest level that its version supports. Once every controller named
-/// in the settings has registered, one of them raises the fleet's level with a compare-and-swap. The level
-/// never falls, so a registered controller must not be downgraded.
+/// Each controller durably registers the highest level that its version supports. Once every controller
+/// listed in the settings has registered, one of the controllers raises the fleet's level with a
+/// compare-and-swap. The level never falls, so a registered controller must not be downgraded.
 class FormatLevel {
   public:
-    /// From this level on, a job record may specify a page size below the standard one. Level 0 is the
-    /// initial format.
+    /// The lowest format level at which a job record may specify a page size below the standard one. Level 0
+    /// is the initial format.
     static constexpr std::uint32_t small_pages = 1;
-    /// The highest format level that this version of the program supports, and registers.
+    /// The highest format level that this version of the program supports. Each controller registers its own
+    /// value.
     static constexpr std::uint32_t highest_supported = small_pages;
 
     /// All constructor arguments must outlive the FormatLevel.
@@ -30,8 +31,8 @@
                 const ClusterCoordinator& cluster);
     /// Starts the periodic registration and level check on the event loop. Must be called exactly once.
     void start();
-    /// Returns the controllers that have not yet registered support for the highest level and so block the
-    /// raise. Empty once the level has been raised.
+    /// Returns the controllers that have not yet registered support for the highest level, which prevents the
+    /// level from being raised. Empty once the level has been raised.
     [[nodiscard]] std::vector<NodeName> unregistered_nodes() const;
 
   private:
--- a/src/cluster/job_roles.cpp
+++ b/src/cluster/job_roles.cpp
@@ -23,8 +23,8 @@
 NodeName JobRoles::committer_of(const Job& job) const {
     const Team* team = state_cache_.team_limits(job.spec.team);
     if (team == nullptr || !team->has_limit()) return relay_of(job);
-    // Teams are assigned round-robin, which spreads the write load more evenly than hashing a small number of
-    // team names.
+    // Teams with limits are assigned to committers round-robin, which spreads the write load more evenly than
+    // hashing a small number of team names.
     const auto position =
         static_cast<std::size_t>(std::distance(settings_.teams.begin(), settings_.teams.find(job.spec.team)));
     const NodeName& preferred = all_nodes_[position % all_nodes_.size()];
--- a/src/cluster/job_roles.h
+++ b/src/cluster/job_roles.h
@@ -1,4 +1,4 @@
-/// Assigns the relay and the committer of each job to controllers.
+/// Selection of the controllers that act as relay and as committer of a job.
 #pragma once
 #include <vector>
 
--- a/src/cluster/session_keeper.h
+++ b/src/cluster/session_keeper.h
@@ -10,7 +10,7 @@
 
 namespace zincdyke {
 
-/// Maintains the session that shows other controllers that this one is alive.
+/// Maintains this controller's session, by which other controllers recognize that it is alive.
 ///
 /// A session consists of a store lease, renewed four times per lease duration, and a session record attached
 /// to the lease, so that the record is deleted when the lease expires. A lost session is replaced by a new
@@ -35,7 +35,7 @@
     /// requested; 0 before the first lease is granted.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
     /// Returns a number unique to this process: the store revision at which it first wrote its session
-    /// record; 0 before that.
+    /// record; 0 before the first write.
     [[nodiscard]] Revision incarnation() const { return incarnation_; }
 
   private:
@@ -46,7 +46,7 @@
         missing,
         writing,
         written,
-        rewriting  // written, and another commit of the record is in flight
+        rewriting  // the record has been written, and a commit that writes it again is in flight
     };
     // Only the following six functions change `lease_state_` and `record_state_`.
     [[nodiscard]] bool begin_lease_request();
--- a/src/cluster/shard_leadership.cpp
+++ b/src/cluster/shard_leadership.cpp
@@ -73,7 +73,8 @@
     // before the old session expired, the other controllers see the leader as alive and do not claim the
     // shard.
     if (leader == settings_.node) return true;
-    // The home controller of a shard reclaims it as soon as it is back, even if another leader is alive.
+    // The home controller of a shard reclaims the shard as soon as that controller is alive, even if the
+    // shard's current leader is alive too.
     const NodeName& home = all_nodes_[shard % all_nodes_.size()];
     if (home == settings_.node && !shard_states_[shard].transferred_at) return true;
     if (membership_.is_live(home) || membership_.is_live(leader)) return false;
@@ -99,14 +100,14 @@
     shard_states_[shard].record_write = RecordWrite::claiming;
     write_leader(shard, settings_.node, incarnation, [this, shard](const CommitResult& result) {
         shard_states_[shard].record_write = RecordWrite::none;
-        // If a claim is executed but its response is lost, the record names this controller while no claimed
-        // term is known. The shard is then claimed again, under a new term.
+        // If a claim is executed but its response is lost, the leader record contains this controller's name,
+        // but this process does not know its term. It claims the shard again, under a new term.
         if (result.outcome != Outcome::ok) return;
         shard_states_[shard].claimed_term = result.revision;
         log::info("event=shard_claimed shard={} term={} from={}", shard, result.revision.value(),
                   state_cache_.shards()[shard].leader.value());
-        // The record is applied to the state cache by the watch, not here, so that all earlier changes are
-        // applied first. The watch may already have delivered it.
+        // The new leader record is applied to the state cache by the watch instead of this callback, so that
+        // all earlier changes are applied first. The watch may already have delivered the record.
         on_claimed_();
     });
 }
@@ -119,7 +120,7 @@
     shard_states_[shard].transferred_at = env_.now();
     log::warn("event=shard_leadership_transferred shard={} to={} reason=no_heartbeats", shard,
               new_leader.value());
-    // The controller named in the leader record then claims the shard under its own term.
+    // The new leader finds its name in the leader record and claims the shard under a term of its own.
     write_leader(shard, new_leader, incarnation, [this, shard](const CommitResult&) {
         shard_states_[shard].record_write = RecordWrite::none;
     });
--- a/src/cluster/shard_leadership.h
+++ b/src/cluster/shard_leadership.h
@@ -14,11 +14,11 @@
 
 namespace zincdyke {
 
-/// Claims shards for this controller and transfers them to others.
+/// Claims shards for this controller and transfers the leadership of shards to other controllers.
 ///
-/// The key-value store has one record per shard that names the shard's leader; the record's version is the
-/// leader's term. Each shard has a home controller, which leads the shard while it is alive. Otherwise a live
-/// controller picked by hash leads the shard.
+/// The key-value store has one record per shard, which contains the name of the shard's leader; the record's
+/// version is the leader's term. Each shard has a home controller, which leads the shard while it is alive.
+/// Otherwise a live controller picked by hash leads the shard.
 class ShardLeadership {
   public:
     /// All arguments passed by reference must outlive the ShardLeadership. `on_claimed` is called on the
@@ -31,9 +31,9 @@
     /// while the state cache is up to date and the session is open. `incarnation` identifies this process in
     /// the leader records.
     void claim_shards(Revision incarnation);
-    /// Writes another live controller into the shard's leader record; does nothing if there is no other live
-    /// controller. The new leader then claims the shard under its own term. Must only be called while the
-    /// state cache is up to date.
+    /// Writes the name of a live controller other than this one into the shard's leader record, whereupon
+    /// that controller claims the shard under its own term. Does nothing if no other controller is alive or a
+    /// write of the record is in flight. Must only be called while the state cache is up to date.
     void transfer_leadership(std::uint32_t shard, Revision incarnation);
     /// Notifies the observer of each shard that this controller has started to lead since the last call. Must
     /// be called after changes of the state cache.
@@ -47,7 +47,8 @@
     /// The state of one shard that is known to this process only, in addition to the leader record.
     struct LocalState {
         std::optional<Term> claimed_term;  // term of this process's latest successful claim
-        // Time of the last transfer; not set once this controller may reclaim the shard.
+        // Time at which this process transferred the shard's leadership to another controller; not set if
+        // this controller may claim the shard.
         std::optional<SteadyTime> transferred_at;
         RecordWrite record_write = RecordWrite::none;
         bool is_announced = false;
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -62,8 +62,9 @@
 
 void StateWatcher::load_all_records() { load_records_page("", {}, env_.now()); }
 
-// `first_page_revision` is the store revision of the list's first page, or 0 while that page is being
-// requested. `sent_at` is the time at which the first page was requested.
+// Loads one page of the list of all records, with the keys after `after`. `first_page_revision` is the store
+// revision of the list's first page, or 0 while that page is being requested. `sent_at` is the time at which
+// the first page was requested.
 void StateWatcher::load_records_page(const std::string& after, Revision first_page_revision,
                                      SteadyTime sent_at) {
     store_.list(
@@ -106,8 +107,9 @@
     load_all_records();
 }
 
-// Returns the pause between watches. It batches changes into one response and grows with the number of
-// controllers, which keeps their watches within the watch share of the request budget.
+// Returns the pause between two watches. The pause batches changes into one response and grows with the
+// number of controllers, so that the watches of all controllers stay within the watch share of the request
+// budget.
 Duration StateWatcher::watch_pause() const {
     const double pause_s =
         static_cast<double>(membership_.budget_node_count()) / (settings_.store_rps * watch_budget_share);
@@ -140,8 +142,8 @@
     const bool was_catching_up = freshness_.end_catch_up();
     if (result.is_compacted) return reload();
     if (result.outcome != Outcome::ok) {
-        // If only the watch fails, its response may exceed the size limit for responses. A list is split into
-        // pages and avoids that.
+        // If the watch keeps failing while the store is reachable, its response may exceed the size limit for
+        // responses. A list is split into pages, which stay below that limit.
         if (store_.reachable() && ++watch_failures_ >= max_watch_failures) return reload();
         return schedule_watch(watch_retry_delay);
     }
--- a/src/cluster/write_budget_share.h
+++ b/src/cluster/write_budget_share.h
@@ -20,9 +20,9 @@
     WriteBudgetShare(const Settings& settings, StoreClient& store, const StateCache& state_cache,
                      const Membership& membership);
 
-    /// Recomputes this controller's budget shares and sets them in the store client. The demands are the
-    /// numbers of pending writes of this controller and of its peers, the latter as reported in peer
-    /// heartbeats. A live peer missing from `peer_demands` counts with the average demand of the others.
+    /// Recomputes this controller's budget shares and sets them in the store client. `own_demand` is this
+    /// controller's number of pending writes, and `peer_demands` contains the numbers that peers reported in
+    /// peer heartbeats. A live peer missing from `peer_demands` counts with the average demand of the others.
     void recompute_shares(double own_demand, const std::map<NodeName, double>& peer_demands);
     /// To be called when the number of live controllers may have changed. Updates the even shares
     /// immediately; the demand-based share changes with the next `recompute_shares`.
--- a/src/jobs/commit_executor.cpp
+++ b/src/jobs/commit_executor.cpp
@@ -103,7 +103,7 @@
     counts_.written_pages += built.operations.size();
     for (auto& [page, operations] : built.operations)
         for (auto& operation : operations) {
-            ++(operation.is_start() ? counts_.committed_starts : counts_.committed_ends);
+            ++(operation.is_start() ? counts_.committed_task_starts : counts_.committed_task_ends);
             log::info("event={} task={} machine={} term={} reason={} revision={}",
                       committed_event_name(operation), TaskRef{page.job, operation.task}.str(),
                       operation.machine.value(), operation.term.value(), log_reason(operation),
--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -36,10 +36,11 @@
 /// failed transactions. The executor must outlive the timers and store requests that it starts.
 class CommitExecutor {
   public:
-    /// Totals of the commit transactions that this node sent since the process started, and of their results.
+    /// Totals of the commit transactions that this node sent, and of the task starts and task ends
+    /// (completions and releases) that they committed, since the process started.
     struct Counts {
-        std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
-                      transaction_conflicts = 0;
+        std::uint64_t sent_transactions = 0, written_pages = 0, committed_task_starts = 0,
+                      committed_task_ends = 0, transaction_conflicts = 0;
     };
 
     /// Keeps all reference arguments; they must outlive the executor.
--- a/src/jobs/commit_forwarder.h
+++ b/src/jobs/commit_forwarder.h
@@ -39,8 +39,8 @@
     /// Queues an operation for `committer`. Operations for the same committer and job are sent in one message
     /// after a delay of a few milliseconds.
     void forward(const NodeName& committer, const JobId& job, PendingOperation operation);
-    /// Removes the operations whose results a committer's response contains, and returns them with these
-    /// results. Ignores results of operations that were already removed or reclaimed.
+    /// Removes and returns the forwarded operations for which `response` contains a result, each with its
+    /// result. Ignores results of operations that were already removed or reclaimed.
     [[nodiscard]] std::vector<AnsweredOperation> take_answered_operations(
         const wire::CommitResponse& response);
     [[nodiscard]] const Counts& counts() const { return counts_; }
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -22,7 +22,7 @@
     void close_job(const JobId& id);
     /// Sets the page size in the job's record to the size that fits the strictest store limits. Every commit
     /// of a task start or end has the job record's version as a condition, so no transaction that was built
-    /// for the larger pages can succeed afterwards.
+    /// for the larger pages can succeed after the change.
     void resize_pages(const JobId& id);
 
   private:
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -156,7 +156,7 @@
 }
 
 // Returns the initially assigned zone of a one-zone job, or nothing for other jobs. The job's first task
-// start may choose another zone (StateCache::required_zone).
+// start may choose a different zone (StateCache::required_zone).
 std::optional<std::string> JobsApi::expected_zone(const wire::JobSpec& spec) const {
     if (!spec.one_zone) return std::nullopt;
     if (spec.zone) return spec.zone;
--- a/src/jobs/operation_rules.cpp
+++ b/src/jobs/operation_rules.cpp
@@ -29,7 +29,7 @@
            (team.gpu_max > 0 && team_usage.gpu + need.gpu > team.gpu_max);
 }
 
-// Returns whether a job that is spread over zones may place another task of the page in the zone. Returns
+// Returns whether a job that is spread over zones may place one more task of the page in the zone. Returns
 // false for a job with small pages until the state cache contains the final contents of its frozen pages.
 bool is_zone_available(const StateCache& state_cache, const Job& job,
                        const std::vector<TaskState>& page_tasks, std::uint32_t page,
@@ -53,7 +53,7 @@
     if (task.status != TaskState::Status::pending) return ApplyResult::superseded;
     if (job.cancelled) return ApplyResult::job_cancelled;
     if (now - operation.accepted_at > start_commit_timeout) return ApplyResult::start_expired;
-    const auto attempt = sched::next_attempt(job, task);
+    const auto attempt = sched::next_attempt_number(job, task);
     if (!attempt) return ApplyResult::no_attempt_allowed;
     const Team* team = state_cache.team_limits(job.spec.team);
     if (team == nullptr) return ApplyResult::unknown_team;
--- a/src/jobs/operation_rules.h
+++ b/src/jobs/operation_rules.h
@@ -12,14 +12,14 @@
 enum class ApplyResult : std::uint8_t {
     applied,
     not_in_page,         ///< the page does not contain the operation's task
-    superseded,          ///< the task has left the state in which the operation applies
+    superseded,          ///< the task is no longer in the state that the operation changes
     never_completes,     ///< a service's replicas are restarted instead of being completed
     job_cancelled,       ///< tasks of a cancelled job are not started
     start_expired,       ///< the start waited for longer than `start_commit_timeout`
-    no_attempt_allowed,  ///< tasks of the gang's failed attempt are still placed on machines
-    unknown_team,
-    over_quota,
-    zone_full  ///< a job spread over zones has reached its page's limit of tasks in this zone
+    no_attempt_allowed,  ///< tasks of the gang's failed attempt are placed, so no new attempt may start
+    unknown_team,        ///< the settings do not define the job's team
+    over_quota,          ///< the start would exceed the team's quota limit
+    zone_full  ///< the start would exceed the page's limit of tasks in the zone, for a job spread over zones
 };
 
 /// Applies a task start or end to `page_tasks`, the tasks of page `page` in order, and to `team_usage`, the
--- a/src/jobs/pending_operation.h
+++ b/src/jobs/pending_operation.h
@@ -16,9 +16,9 @@
 /// The kinds of changes to a task's state that are committed to the key-value store. The values are those of
 /// `wire::TaskOperation::event`.
 enum class OperationKind : std::uint8_t {
-    start,       ///< places a pending task on a machine
-    completion,  ///< marks a task as done after its attempt succeeded
-    release      ///< makes a task pending again after an attempt that did not complete it
+    start,       ///< the operation places a pending task on a machine
+    completion,  ///< the operation marks a task as done after its attempt succeeded
+    release      ///< the operation makes a task pending again after an attempt that did not complete it
 };
 /// Returns the operation kind for the `event` number in a peer message, or nothing if the number is unknown.
 [[nodiscard]] std::optional<OperationKind> operation_kind(std::uint8_t event);
@@ -60,12 +60,13 @@
 struct PendingOperation {
     OperationKind kind = OperationKind::start;
     TaskIndex task = 0;
-    Attempt attempt = 0;  ///< the attempt that ended; unused for a start
+    Attempt attempt = 0;  ///< number of the attempt of `task` that ended; unused for a start
     MachineId machine;
     std::string zone;                             ///< the zone of the machine; set only for a start
     std::optional<ReleaseReason> release_reason;  ///< set only for a release decided by this node
     /// The shard leader's term in which the operation was decided. The operation is valid only in that term:
-    /// afterwards, another leader may have renewed the machine's lease or started the task again.
+    /// after the term has ended, another leader may have renewed the machine's lease or started the task
+    /// again.
     Term term;
     SteadyTime accepted_at{};  ///< when this node decided or received the operation
     StartCallback on_result;   ///< called with the result unless empty
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -228,7 +228,7 @@
             const TaskState& state = page != nullptr ? page->tasks[i] : never_started_task;
             if (!needs_request(job, waiting, first_task + i, state)) continue;
             const std::size_t requested_count = tasks.size() + 1 + requested_before;
-            if (!is_request_allowed(job, state, static_cast<TaskIndex>(requested_count))) break;
+            if (!is_placement_request_allowed(job, state, static_cast<TaskIndex>(requested_count))) break;
             tasks.push_back(first_task + i);
         }
     }
@@ -242,9 +242,10 @@
     return !job.spec.is_service() || waiting.restart_backoff.earliest_start(task, env_.now()) <= env_.now();
 }
 
-bool Relay::is_request_allowed(const Job& job, const TaskState& state, TaskIndex requested_count) const {
+bool Relay::is_placement_request_allowed(const Job& job, const TaskState& state,
+                                         TaskIndex requested_count) const {
     if (!state_cache_.fits_team_quota(job.spec.team, job.spec.need, requested_count)) return false;
-    return job.spec.shape != wire::Shape::gang || sched::next_attempt(job, state).has_value();
+    return job.spec.shape != wire::Shape::gang || sched::next_attempt_number(job, state).has_value();
 }
 
 void Relay::send_placement_request(const Job& job, std::vector<TaskIndex> tasks) {
--- a/src/jobs/relay.h
+++ b/src/jobs/relay.h
@@ -72,7 +72,8 @@
     // Returns whether the placement of a task in state `state` may be requested. The team's quota must allow
     // `requested_count` more tasks of the job, and after a failed attempt of a gang, all tasks of that
     // attempt must have ended.
-    bool is_request_allowed(const Job& job, const TaskState& state, TaskIndex requested_count) const;
+    bool is_placement_request_allowed(const Job& job, const TaskState& state,
+                                      TaskIndex requested_count) const;
     void send_placement_request(const Job& job, std::vector<TaskIndex> tasks);
 
     Env& env_;
--- a/src/jobs/task_committer.cpp
+++ b/src/jobs/task_committer.cpp
@@ -157,8 +157,8 @@
 TaskCommitter::Counts TaskCommitter::counts() const {
     const CommitExecutor::Counts& executed = executor_.counts();
     const CommitForwarder::Counts& forwarding = forwarder_.counts();
-    return {executed.sent_transactions,     executed.written_pages,         executed.committed_starts,
-            executed.committed_ends,        executed.transaction_conflicts, forwarding.forwarded_operations,
+    return {executed.sent_transactions,     executed.written_pages,         executed.committed_task_starts,
+            executed.committed_task_ends,   executed.transaction_conflicts, forwarding.forwarded_operations,
             forwarding.reclaimed_operations};
 }
 
--- a/src/jobs/task_committer.h
+++ b/src/jobs/task_committer.h
@@ -27,12 +27,13 @@
 /// it starts.
 class TaskCommitter : private CommitObserver {
   public:
-    /// Totals of this node's commit transactions and operations since the process started.
-    /// `reclaimed_operations` counts forwarded operations that this node had to commit itself because their
-    /// committer failed.
+    /// Totals of this node's commit transactions, and of the task starts and task ends (completions and
+    /// releases) that they committed, since the process started. `reclaimed_operations` counts forwarded
+    /// operations that this node had to commit itself because their committer failed.
     struct Counts {
-        std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
-                      transaction_conflicts = 0, forwarded_operations = 0, reclaimed_operations = 0;
+        std::uint64_t sent_transactions = 0, written_pages = 0, committed_task_starts = 0,
+                      committed_task_ends = 0, transaction_conflicts = 0, forwarded_operations = 0,
+                      reclaimed_operations = 0;
     };
 
     /// Keeps all reference arguments; they must outlive the committer.
@@ -73,7 +74,7 @@
 
   private:
     // Identifies an operation that this node decided and that has no result yet. Workers repeat a task's
-    // status in each heartbeat; the key prevents that the same operation is accepted twice.
+    // status in each heartbeat; this key prevents an operation from being accepted twice.
     struct UnfinishedKey {
         TaskRef task;
         OperationKind kind = OperationKind::start;
--- a/src/jobs/team_locks.cpp
+++ b/src/jobs/team_locks.cpp
@@ -82,8 +82,8 @@
     });
 }
 
-// Reads a lock record after a failed write. Its version has changed if another controller wrote the record,
-// or if the write succeeded and only its response was lost.
+// Reads a lock record after a failed write. The record's version has changed if another controller wrote the
+// record, or if the write succeeded and only its response was lost.
 void TeamLocks::read_record(const TeamName& team) {
     const std::string key = keys::team_lock(team);
     store_.get(key, RequestPriority::report, [this, team, key](const GetResult& result) {
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -96,8 +96,9 @@
     for (auto& operation : operations) {
         const std::uint32_t shard = state_cache_.shard_of(operation.machine);
         const auto term = valid_term(operation, shard);
-        // The term of each shard adds a condition to the transaction. An operation of another shard is
-        // deferred to the next transaction if the number of conditions would exceed the store's limit.
+        // The term of each shard adds a condition to the transaction. An operation whose shard is not yet
+        // among these conditions is deferred to the next transaction if the number of conditions would exceed
+        // the store's limit.
         if (term && !effects_.terms_by_shard.contains(shard) &&
             condition_count() + max_conditions_per_page(job) + 1 > max_conditions) {
             result.deferred_operations.push_back(std::move(operation));
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -70,8 +70,8 @@
     std::vector<PageOperations> deferred_operations;
     /// Events for the caller, in the order in which they must be handled.
     std::vector<BuildNotice> notices;
-    /// Whether the transaction contains task ends. It is then sent with higher priority, since ends free
-    /// capacity.
+    /// Whether the transaction contains task ends. A transaction with task ends is sent with higher priority,
+    /// since ends free capacity.
     bool has_ends = false;
 };
 
--- a/src/sched/placement_rules.cpp
+++ b/src/sched/placement_rules.cpp
@@ -69,8 +69,9 @@
 }
 
 namespace {
-// Score weights. Each exceeds the highest possible score for free capacity, which is a few thousand, so that
-// free capacity only decides between otherwise equal candidates.
+// Weights of a cached image, of a replica and of a task failure in the score. Each weight exceeds the highest
+// possible score for free capacity, which is a few thousand, so that free capacity only decides between
+// otherwise equal candidates.
 constexpr std::int64_t image_weight = 100'000, replica_weight = 60'000, failure_weight = 1'000'000;
 }  // namespace
 
@@ -99,7 +100,8 @@
         largest.ram = std::max(largest.ram, candidate.total.ram);
     }
     // An offer changes the score of its own candidate only, so the other queue entries stay valid. The second
-    // element decreases with the candidate's index, so that equal scores are ordered by index.
+    // element of a queue entry decreases with the candidate's index, so that equal scores are ordered by
+    // index.
     std::priority_queue<std::pair<std::int64_t, std::size_t>> best;
     const std::size_t n = candidates.size();
     auto enqueue = [&](std::size_t i) {
@@ -178,7 +180,7 @@
     return gang;
 }
 
-std::optional<Attempt> next_attempt(const Job& job, const TaskState& task) {
+std::optional<Attempt> next_attempt_number(const Job& job, const TaskState& task) {
     if (job.spec.shape != wire::Shape::gang) return task.attempt + 1;
     GangState gang = gang_state(job);
     if (gang.failed) {
--- a/src/sched/placement_rules.h
+++ b/src/sched/placement_rules.h
@@ -27,8 +27,8 @@
 /// Returns whether the job allows the machine type and one of its tasks fits on an empty machine of that
 /// type.
 bool type_allowed(const wire::JobSpec& spec, const wire::MachineType& type);
-/// Returns false if `type` has GPUs that the job does not need and another allowed type has none. GPU
-/// machines are thus kept free for jobs that need GPUs.
+/// Returns whether the job should use machines of `type`: false if the type has GPUs that the job does not
+/// need and the job can use a type without GPUs. This keeps GPU machines free for jobs that need GPUs.
 bool should_use_type(const wire::JobSpec& spec, const wire::MachineType& type,
                      const std::vector<wire::MachineType>& types);
 /// The terms under which a machine is reserved for a class of jobs or for a single job.
@@ -59,14 +59,16 @@
 bool has_precedence(const Job& a, const Job& b, double min_age_gap_s);
 
 /// Returns whether the machine types that job `a` should use are a proper subset of those that job `b` should
-/// use. Job `a` then has precedence on its types, because job `b` can use other types as well.
+/// use. If so, job `a` has precedence on machines of these types, because job `b` can use other types as
+/// well.
 bool has_fewer_types(const wire::JobSpec& a, const wire::JobSpec& b,
                      const std::vector<wire::MachineType>& types);
 
 /// Returns the score of a candidate for a task that needs `need`; higher is better. `largest` is the maximum
-/// of each resource over all candidates. Recent failures count most, then a cached image, then free capacity.
-/// Each existing replica lowers the score: with the image cached, a second replica scores below the first
-/// replica on another such machine, and a third below the first on a machine without the image.
+/// of each resource over all candidates. Recent task failures weigh most, a cached image less and free
+/// capacity least. Replicas of the job on the machine lower the score: with the image cached, a machine with
+/// one replica scores below a machine without replicas, and a machine with two replicas below a machine with
+/// neither replicas nor the image.
 std::int64_t score(const Candidate& candidate, const Resources& need, const Resources& largest);
 
 /// Options of `make_offers`.
@@ -77,7 +79,7 @@
     bool spread_replicas = false;
 };
 /// Returns up to `max_offers` offers of resources `need` each. The next offer always comes from the candidate
-/// with the highest score at that point, and `need` is deducted from its free resources.
+/// with the highest score at that point, and `need` is deducted from that candidate's free resources.
 std::vector<wire::PlacementOffer> make_offers(std::vector<Candidate>& candidates, const Resources& need,
                                               std::size_t max_offers, OfferOptions options = {});
 
@@ -103,13 +105,13 @@
 /// The progress of a gang's latest attempt.
 struct GangState {
     Attempt latest_attempt = 0;  ///< Highest attempt number of any unfinished task; 0 if none has started.
-    bool failed = false;         ///< Whether a task of the latest attempt ended before all tasks were done.
+    bool failed = false;  ///< Whether a task of the gang ended in the latest attempt without being done.
     TaskIndex placed_tasks = 0;
 };
 /// Returns the state of a gang's latest attempt, derived from the states of the gang's tasks.
 GangState gang_state(const Job& job);
-/// Returns the attempt number for the next start of the task, or nothing if the task must not start now
-/// because tasks of a failed gang attempt are still placed.
-std::optional<Attempt> next_attempt(const Job& job, const TaskState& task);
+/// Returns the number of the attempt that the next start of the task begins or joins, or nothing if the task
+/// must not start now because tasks of a failed gang attempt are still placed.
+std::optional<Attempt> next_attempt_number(const Job& job, const TaskState& task);
 
 }  // namespace zincdyke::sched
--- a/src/sched/spread.h
+++ b/src/sched/spread.h
@@ -18,7 +18,7 @@
 
 /// Returns whether no page of the job has more than its limit of placed tasks in any zone. A page can exceed
 /// the limit only after the job's page size was reduced, and no task of the job may be placed until all pages
-/// are within their limits again. Pages within their limits remain so.
+/// are within their limits again. A page within its limits stays within them.
 bool all_pages_within_zone_limit(const Job& job);
 
 }  // namespace zincdyke::sched
--- a/src/store/frozen_pages.h
+++ b/src/store/frozen_pages.h
@@ -13,8 +13,9 @@
 [[nodiscard]] std::vector<TaskState> tasks_in_frozen_pages(const Job& job, const PageLayout& layout,
                                                            std::uint32_t small_page);
 
-/// Moves a job's standard pages to its frozen pages after the job's record has named a smaller page size, and
-/// fills the small pages from them. No task changes its state. `layout` is the layout with small pages.
+/// Moves a job's standard pages to its frozen pages after the job's record has specified a smaller page size,
+/// and fills the small pages from the frozen ones. No task changes its state. `layout` is the layout with
+/// small pages.
 void freeze_pages(Job& job, const PageLayout& layout);
 
 }  // namespace zincdyke
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -10,9 +10,11 @@
 
 namespace zincdyke::keys {
 
-/// Key prefix of the records that controllers watch. Final states of jobs have another prefix.
+/// Key prefix of the records that controllers watch. Final states of jobs have a different prefix and are not
+/// watched.
 inline constexpr std::string_view watched_prefix = "z/";
-/// Key of the record that names the autoscaler's leader; deleted when the leader's session lease expires.
+/// Key of the record with the name of the autoscaler's leader. The record is deleted when the leader's
+/// session lease expires.
 inline const std::string autoscaler_leader = "z/s";
 /// Key of the record with the cloud's machine types, as last listed.
 inline const std::string machine_types = "z/f";
@@ -23,13 +25,13 @@
 [[nodiscard]] std::string job(const JobId& id);
 /// Returns the key of a standard-size page of a job's tasks.
 [[nodiscard]] std::string page(const JobId& id, std::uint32_t number);
-/// Returns the key of a page of a job whose record names a smaller page size.
+/// Returns the key of a page of a job whose record specifies a smaller page size.
 [[nodiscard]] std::string small_page(const JobId& id, std::uint32_t number);
 /// Returns the key of a job's final state.
 [[nodiscard]] std::string final_state(const JobId& id);
 /// Returns the key of a live controller's record, which is deleted when its session lease expires.
 [[nodiscard]] std::string node(const NodeName& name);
-/// Returns the key of the record that names a shard's leader.
+/// Returns the key of the record with the name of a shard's leader.
 [[nodiscard]] std::string shard(std::uint32_t number);
 /// Returns the key of a team lock. Only the lock's holder commits task starts of a team with limits.
 [[nodiscard]] std::string team_lock(const TeamName& name);
--- a/src/store/machine_images.cpp
+++ b/src/store/machine_images.cpp
@@ -20,8 +20,8 @@
 }
 
 // Limits the size of the index, which may contain machines that were terminated without a call of `forget`.
-// Evicts the machines that had no placement in the latest quarter of the store's revisions, and then all
-// machines if the index is still full.
+// Evicts the machines that had no placement in the latest quarter of the store's revisions, and if the index
+// is still full after that, evicts all machines.
 void MachineImages::evict_inactive_machines(Revision current) {
     const Revision oldest_kept{current.value() - current.value() / 4};
     std::erase_if(machines_, [&](const auto& entry) { return entry.second.last_placed_at < oldest_kept; });
--- a/src/store/page_layout.h
+++ b/src/store/page_layout.h
@@ -21,9 +21,9 @@
 
 /// Maps the task indexes of one job to pages, given the job's task count and page sizes.
 ///
-/// Pages have the standard size until the job's record names a smaller size, which is then final. From then
-/// on the standard pages are frozen (no longer written), and each small page overrides the same tasks of the
-/// frozen pages once it has been written (docs/design.md, "Upgrade").
+/// Pages have the standard size until the job's record specifies a smaller size, which never changes again.
+/// From that change on, the standard pages are frozen (no longer written), and each small page overrides the
+/// same tasks of the frozen pages once it has been written (docs/design.md, "Upgrade").
 class PageLayout {
   public:
     /// `standard_size` and `small_size` are numbers of tasks per page. A `small_size` of 0 means that the job
@@ -33,7 +33,7 @@
     PageLayout(const Job& job, std::uint32_t standard_size)
         : PageLayout(job.spec.tasks, standard_size, job.small_page_size) {}
 
-    /// Whether the job's record names a smaller page size.
+    /// Whether the job's record specifies a smaller page size.
     [[nodiscard]] bool has_small_pages() const { return small_size_ != 0; }
     /// Number of tasks per page, of the small size if the job has one; the last page may have fewer tasks.
     [[nodiscard]] std::uint32_t page_size() const { return has_small_pages() ? small_size_ : standard_size_; }
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -26,10 +26,10 @@
 [[nodiscard]] std::optional<std::vector<TaskState>> decode_page(const Json& record, const Job& job,
                                                                 std::size_t first_task, TaskIndex task_count);
 
-/// Encodes a job's record: `spec` (as submitted by the user), `at` (time of submission in ms since 1970,
-/// UTC), `relay` (controller that requests placements), `x` (true if cancelled), `pin` (assigned zone) and
-/// `pages` (`{layout: 1, size}`: tasks per small page); the last three are omitted if unset. In a record
-/// larger than `max_bytes`, the allowed machine types are reduced to those in `types`.
+/// Encodes a job's record: `spec` (as submitted), `at` (submission time, ms since 1970 UTC), `relay`
+/// (controller that requests placements); if set, also `x` (true: cancelled), `pin` (assigned zone) and
+/// `pages` (`{layout: 1, size}`, where `size` is the number of tasks per small page). If the record exceeds
+/// `max_bytes`, the job's list of allowed machine types is reduced to those in `types`.
 [[nodiscard]] Json encode_job(const Job& job, const std::vector<wire::MachineType>& types,
                               std::size_t max_bytes);
 /// Decodes a job's record. Returns `std::nullopt` if the record is malformed or its pages have a layout that
@@ -39,20 +39,20 @@
 /// Encodes a shard's record: `owner` (the leader) and `inc` (the leader's incarnation: the revision of its
 /// process's first session). The version of this record is the leader's term.
 [[nodiscard]] Json encode_shard_leader(const NodeName& leader, Revision incarnation);
-/// Returns the leader that a shard's record names; empty if it names none. Throws `Json::exception` if the
-/// record is not an object.
+/// Returns the name of the leader in a shard's record; empty if the record has none. Throws `Json::exception`
+/// if the record is not an object.
 [[nodiscard]] NodeName decode_shard_leader(const Json& record);
 
 /// Encodes a team lock's record: `node` (the controller that holds the lock).
 [[nodiscard]] Json encode_team_lock_holder(const NodeName& holder);
-/// Returns the holder that a team lock's record names; empty if it names none. Throws `Json::exception` if
-/// the record is not an object.
+/// Returns the name of the holder in a team lock's record; empty if the record has none. Throws
+/// `Json::exception` if the record is not an object.
 [[nodiscard]] NodeName decode_team_lock_holder(const Json& record);
 
 /// Encodes the autoscaler's leader record: `node` (the controller that leads the autoscaler).
 [[nodiscard]] Json encode_autoscaler_leader(const NodeName& leader);
-/// Returns the leader that the autoscaler's record names; empty if it names none. Throws `Json::exception` if
-/// the record is not an object.
+/// Returns the name of the leader in the autoscaler's leader record; empty if the record has none. Throws
+/// `Json::exception` if the record is not an object.
 [[nodiscard]] NodeName decode_autoscaler_leader(const Json& record);
 
 /// Encodes the record of a format level, either the one that a controller supports or the one that all
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -53,8 +53,8 @@
 void RequestBudget::drain(double write_count) { (write_count > 0 ? write_bucket_ : request_bucket_).drain(); }
 
 std::size_t RequestBudget::available_writes(SteadyTime now) {
-    // A full write budget passes this check even if its capacity is below the required number of writes. One
-    // commit of two writes is allowed then.
+    // A full write budget passes this check even if its capacity is below the required number of writes. In
+    // that case, one commit of two writes is allowed.
     if (!write_bucket_.refill_and_check(now, min_commit_writes + reserved_writes) ||
         !request_bucket_.refill_and_check(now, 1))
         return 0;
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -259,7 +259,7 @@
 void StateCache::apply_small_page(Job& job, std::uint32_t page, const KeyUpdate& update) {
     const PageLayout job_layout = layout(job);
     // The job's record with the page size has not been read yet. The watch returns this page again after that
-    // record, and `forget` lets it be applied then.
+    // record; `forget` ensures that the page is applied when it is returned again.
     if (!job_layout.has_small_pages()) return versions_.forget(update.key);
     if (page >= job_layout.page_count()) return;
     auto tasks = records::decode_page(*update.value, job, job_layout.first_task_in_page(page),
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -29,9 +29,9 @@
 
 /// The records of the key-value store and the indexes derived from them.
 ///
-/// The cache may lag behind the store, so a decision takes effect only by a commit whose preconditions name
-/// the versions in the cache. Updates of a key may arrive in any order and repeatedly; the newest version
-/// wins. Used on the event-loop thread only.
+/// The cache may lag behind the store, so a decision takes effect only by a commit that has the record
+/// versions in the cache as preconditions. Updates of a key may arrive in any order and repeatedly; the
+/// newest version wins. Used on the event-loop thread only.
 class StateCache {
   public:
     /// `settings` and `observer` must outlive the cache.
@@ -72,12 +72,13 @@
     [[nodiscard]] bool has_pending_tasks() const;
     /// Returns the zone in which a one-zone job's next task must start; `std::nullopt` if any zone is
     /// allowed. Any zone is allowed while no task of the job is placed and the job has few pages: the commit
-    /// of the first start then assigns the zone, with all pages in its preconditions.
+    /// of the first start assigns the zone, with the versions of all pages as preconditions.
     [[nodiscard]] std::optional<std::string> required_zone(const Job& job) const;
-    /// A one-zone job with more pages than this, including frozen ones, keeps the zone assigned when it was
-    /// accepted: a commit that changes the zone names all pages in its preconditions.
+    /// Maximum number of pages, including frozen ones, with which a one-zone job may change its zone. A job
+    /// with more pages keeps the zone assigned when it was accepted, because a commit that changes the zone
+    /// needs the versions of all pages as preconditions.
     static constexpr std::size_t max_pages_for_zone_change = 4;
-    /// Returns how many pages a commit that changes the job's zone names in its preconditions.
+    /// Returns the number of pages whose versions are preconditions of a commit that changes the job's zone.
     [[nodiscard]] std::size_t zone_change_page_count(const Job& job) const;
 
     // --- Pages ---
--- a/src/store/store_protocol.h
+++ b/src/store/store_protocol.h
@@ -8,8 +8,8 @@
 #include "store/store_requests.h"
 
 /// Field names of the interface: `stamp` is a record's version, `epoch` the store's revision, `tether` a
-/// lease and `news` the changes that a watch returns. A malformed response gives `Outcome::unknown`, as does
-/// a missing one.
+/// lease and `news` the changes that a watch returns. A malformed or missing response gives
+/// `Outcome::unknown`.
 namespace zincdyke::store_protocol {
 
 [[nodiscard]] HttpRequest get_request(const std::string& key);
--- a/src/store/token_bucket.h
+++ b/src/store/token_bucket.h
@@ -16,7 +16,7 @@
     void set_refill_rate(double units_per_s) { refill_rate_per_s_ = units_per_s; }
     [[nodiscard]] double refill_rate_per_s() const { return refill_rate_per_s_; }
     /// Refills the bucket and returns whether `amount` tokens may be taken now. An amount above the bucket's
-    /// capacity may be taken when the bucket is full; the balance is negative afterwards.
+    /// capacity may be taken when the bucket is full; the balance is negative after that.
     [[nodiscard]] bool refill_and_check(SteadyTime now, double amount);
     /// Adds the tokens earned since the last refill, up to the bucket's capacity.
     void refill(SteadyTime now);
--- a/src/workers/agent_link.h
+++ b/src/workers/agent_link.h
@@ -18,7 +18,8 @@
 [[nodiscard]] Duration max_lease_duration(double lease_s);
 
 /// Tracks which messages an agent has provably received from this node, and when the agent's lease ends.
-/// Evidence collected under one leader term does not apply to another, so a new term discards it.
+/// Evidence collected under one leader term does not apply to a later term, so it is discarded when the term
+/// changes.
 class AgentLink {
   public:
     /// Updates the link's state from a message of the agent. The message must not be stale (see `is_stale`).
@@ -48,8 +49,8 @@
     /// sent no heartbeat under `term`.
     [[nodiscard]] bool is_lease_overdue(std::uint64_t agent_epoch, Term term, SteadyTime now,
                                         double lease_s) const;
-    /// Whether the agent has proved that it received `term`. The agent then rejects commands and responses of
-    /// leaders with an earlier term.
+    /// Whether the agent has proved that it received `term`. An agent that has received `term` rejects
+    /// commands and responses of leaders with an earlier term.
     [[nodiscard]] bool has_received_term(Term term) const { return has_received_term_ && term_ == term; }
     /// Whether the agent sends heartbeats under `term` and has proved that it receives this node's responses.
     [[nodiscard]] bool is_connected(Term term) const {
@@ -57,8 +58,8 @@
     }
     /// Whether the agent has proved that it receives this node's responses under `term`.
     [[nodiscard]] bool receives_responses(Term term) const { return receives_responses_ && term_ == term; }
-    /// Whether the agent has proved that it receives this node's responses, under the term of its newest
-    /// message.
+    /// Whether the agent has proved, in the leader term of its newest message, that it receives this node's
+    /// responses.
     [[nodiscard]] bool receives_responses() const { return receives_responses_; }
     /// Returns the fencing token for a command or response to the agent under `term`.
     [[nodiscard]] wire::FencingToken fencing_token(Term term) const {
--- a/src/workers/http_messages.h
+++ b/src/workers/http_messages.h
@@ -17,7 +17,7 @@
 [[nodiscard]] HttpResponse lease_renewed_response(wire::FencingToken token,
                                                   const std::vector<wire::Command>& commands);
 /// Returns the 421 response to a heartbeat: this controller does not lead the machine's shard. The response
-/// names the shard's leader if `leader` is not empty.
+/// contains the name of the shard's leader if `leader` is set.
 [[nodiscard]] HttpResponse not_leader_response(const std::optional<NodeName>& leader);
 /// Returns the 503 response to a heartbeat: the worker should try another controller, or this one again after
 /// one second.
--- a/src/workers/leadership_announcer.cpp
+++ b/src/workers/leadership_announcer.cpp
@@ -72,8 +72,8 @@
               [this, id, term](const HttpResponse& response) { on_response(id, term, response); });
 }
 
-// Updates the machine's state from the agent's response to an announcement. Its body has the format of a
-// heartbeat, even if the agent rejects the command with status 409.
+// Updates the machine's state from the agent's response to an announcement of this leader's term. The
+// response's body has the format of a heartbeat, even if the agent rejects the announcement with status 409.
 void LeadershipAnnouncer::on_response(const MachineId& id, Term term, const HttpResponse& response) {
     --in_flight_count_;
     const auto found = targets_.find(id);
--- a/src/workers/machine_status_reporter.h
+++ b/src/workers/machine_status_reporter.h
@@ -22,7 +22,7 @@
                           const CapacityTracker& capacity, const MachineAvailability& availability);
 
     /// Returns the status of every machine in this node's shards, for the next peer heartbeat. Empty while
-    /// the state cache is out of date, because another controller may lead the shards meanwhile.
+    /// the state cache is out of date, because another controller may lead the shards in the meantime.
     [[nodiscard]] std::vector<wire::MachineStatus> machine_statuses();
     /// Discards the idle period of a machine that was removed from the registry.
     void on_machine_removed(const MachineId& id) { idle_since_.erase(id); }
--- a/src/workers/start_duration_histograms.h
+++ b/src/workers/start_duration_histograms.h
@@ -15,7 +15,7 @@
     commit,    // from the assignment until the start is committed to the key-value store
     delivery,  // from the commit until a heartbeat response carries the start command
     image,     // from sending the start command until the machine reports that it has the task's image
-    gang       // from the report of the image until the task runs; a gang's task waits for all members
+    gang       // from the machine's report that it has the image until the task, and any gang it is in, runs
 };
 constexpr std::size_t start_step_count = 5;
 /// Returns the name of a step of a task start on the status page.
