--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -47,8 +47,8 @@
     CommitExecutor(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                    ClusterCoordinator& cluster, CommitQueue& queue, JobRecordWriter& record_writer,
                    CommitObserver& observer);
-    /// Builds and sends the next transaction of a commit queue. It may exceed `max_writes` writes by those of
-    /// its last page. Sends nothing if no operation of the queue can be committed now.
+    /// Builds and sends the next transaction of a commit queue. The transaction may exceed `max_writes` by
+    /// the writes for its last page. Sends nothing if no operation of the queue can be committed now.
     void commit_next(const CommitQueueKey& key, std::size_t max_writes);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
--- a/src/jobs/commit_queue.h
+++ b/src/jobs/commit_queue.h
@@ -22,7 +22,7 @@
 class CommitQueue {
   public:
     /// Called on the event-loop thread when a queue's scheduled time has come and the write budget allows its
-    /// transaction. The callee may send one transaction, which may exceed `max_writes` writes by those of its
+    /// transaction. The callee may send one transaction, which may exceed `max_writes` by the writes for its
     /// last page.
     using QueueDueCallback = std::function<void(const CommitQueueKey& key, std::size_t max_writes)>;
     /// An operation that was removed from its queue, with its job.
@@ -35,8 +35,8 @@
     /// budget.
     CommitQueue(Env& env, StoreClient& store, const StateCache& state_cache, QueueDueCallback on_queue_due);
 
-    /// Adds a new task start or end. The write budget and whether it is a start, completion or release
-    /// determine how long it may wait for other operations of its page.
+    /// Adds a new task start or end. How long the operation may wait for other operations of its page depends
+    /// on its kind (start, completion or release) and on the write budget.
     void add(const JobId& job, PendingOperation operation);
     /// Returns an operation of a failed transaction to the queue, to be retried after `delay` at the latest.
     /// The page is computed again, since the job's page size may have changed.
--- a/src/jobs/commit_responder.h
+++ b/src/jobs/commit_responder.h
@@ -18,8 +18,8 @@
   public:
     /// Keeps both references; they must outlive the responder.
     CommitResponder(Env& env, PeerChannel& peers) : env_(env), peers_(peers) {}
-    /// Stores the result of a forwarded operation. It is sent in the next iteration of the event loop, unless
-    /// send_with_records() sends it first.
+    /// Stores the result of a forwarded operation. The result is sent in the next iteration of the event
+    /// loop, unless send_with_records() sends it first.
     void add_result(const ForwardedRequest& request, bool is_committed);
     /// Sends all stored results, with the records that `transaction` wrote at `revision`.
     void send_with_records(const Transaction& transaction, Revision revision);
--- a/src/jobs/committed_records.h
+++ b/src/jobs/committed_records.h
@@ -1,6 +1,6 @@
 /// Applies the records of a commit to the state cache, on this node and on the leaders that forwarded the
-/// operations. Without this, these nodes would decide on outdated records until the watch delivers the new
-/// ones.
+/// operations. Otherwise, these nodes would base decisions on outdated records until the watch delivers the
+/// new records.
 #pragma once
 #include <vector>
 
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -34,7 +34,8 @@
     std::set<JobId> resizing_jobs_;
 };
 
-/// Returns the value of a finished job's final record, which says whether the job was cancelled or is done.
+/// Returns the value of a finished job's final record, which contains whether the job was cancelled or is
+/// done.
 [[nodiscard]] Json final_record(const Job& job);
 
 }  // namespace zincdyke
--- a/src/jobs/job_routes.h
+++ b/src/jobs/job_routes.h
@@ -11,13 +11,13 @@
 /// The actions that the jobs API offers to users.
 enum class JobAction : std::uint8_t { submit, get, cancel };
 
-/// The action and the job that a request's method and path name.
+/// The action and the job that a request's method and path specify.
 struct JobTarget {
     JobAction action = JobAction::submit;
     JobId id;  ///< a well-formed job id; empty for a submission
 };
 
-/// The reasons why a request's method and path do not name an action of the jobs API.
+/// The reasons why a request's method and path do not specify an action of the jobs API.
 enum class RoutingError : std::uint8_t {
     no_such_path,  ///< the path does not belong to the jobs API
     method_not_allowed,
--- a/src/jobs/team_locks.h
+++ b/src/jobs/team_locks.h
@@ -1,8 +1,8 @@
 /// Team locks, which make one controller at a time the committer of all task starts of a team with a quota
 /// limit. A lock is a record of the key-value store. Its version is the fencing token, which is a condition
 /// of every commit of the team's task starts and changes only when the lock is acquired. The holder therefore
-/// has all starts of the team in its state cache: those of earlier holders after it has read the state once
-/// more, and later ones because it commits them itself.
+/// has all starts of the team in its state cache: it reads the starts of earlier holders after it has
+/// acquired the lock, and commits all later starts itself.
 #pragma once
 #include <functional>
 #include <map>
@@ -42,7 +42,7 @@
   private:
     enum class LockState : std::uint8_t {
         not_held,
-        acquiring,    // the lock record is being written, or read again after a failed write
+        acquiring,    // the lock record is being written, or is being read again after a failed write
         catching_up,  // the lock is acquired, and the state cache is being brought up to date
         held
     };
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -24,12 +24,13 @@
 /// The inputs for building a transaction in addition to the cached records and the settings.
 struct BuildContext {
     SteadyTime now{};
-    /// The number of writes that the write budget allows now. A transaction may exceed it by the writes of
-    /// its last page.
+    /// The number of writes that the write budget allows now. A transaction may exceed this number by the
+    /// writes for its last page.
     std::size_t max_writes = 0;
     /// Whether the store has rejected a value for its size, so that the strictest value limit applies.
     bool store_rejected_value = false;
-    /// Set if the transaction contains task starts of a team with a quota limit.
+    /// The team lock that this node holds for the team whose task starts the transaction contains; not set if
+    /// the transaction contains no starts of a team with a quota limit.
     std::optional<TeamLockToken> team_lock;
     /// Returns the term in which this node leads a shard, or nothing if it does not lead the shard.
     std::function<std::optional<Term>(std::uint32_t shard)> own_leader_term;
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -14,9 +14,9 @@
 /// The placement state of one task.
 struct TaskState {
     enum class Status : std::uint8_t {
-        pending,  ///< not on a machine; the default for a task that no record mentions
-        placed,   ///< assigned to a machine: running or about to start
-        done,     ///< finished; never runs again
+        pending,  ///< the task is not on a machine; the default if no record contains the task
+        placed,   ///< the task is assigned to a machine and is running or about to start
+        done,     ///< the task has finished and never runs again
     };
     Status status = Status::pending;
     /// The current attempt of a placed task, or the last ended attempt of a pending task. Counted from 1; 0
--- a/src/store/record_versions.h
+++ b/src/store/record_versions.h
@@ -8,7 +8,7 @@
 
 namespace zincdyke {
 
-/// The latest version of each record that this node has read; commits name these versions as preconditions.
+/// The latest version of each record that this node has read; commits use these versions as preconditions.
 ///
 /// Versions of deleted keys are kept as well, so that an update older than the deletion is not applied.
 class RecordVersions {
--- a/src/store/state_observer.h
+++ b/src/store/state_observer.h
@@ -16,8 +16,8 @@
     /// A job or one of its pages was changed, or the job was removed. Called after `on_placement_changed` for
     /// the job's tasks.
     virtual void on_job_changed(const JobId& id) = 0;
-    /// The set of tasks placed on a machine changed. For a task that moved to another machine, called first
-    /// for the machine that it left.
+    /// The set of tasks placed on a machine changed. When a task moves from one machine to another, called
+    /// first for the machine that the task leaves.
     virtual void on_placement_changed(const MachineId& id) = 0;
     /// A job's tasks were moved to small pages. Called before `on_job_changed`.
     virtual void on_pages_resized(const JobId& id) = 0;
--- a/src/workers/agent_link.h
+++ b/src/workers/agent_link.h
@@ -9,8 +9,8 @@
 
 /// How a heartbeat message reached this node.
 enum class HeartbeatSource : std::uint8_t {
-    agent,            // heartbeat request from the agent; the response renews the agent's lease
-    command_response  // status in the agent's response to a command; no lease is renewed
+    agent,            // a heartbeat request from the agent; the response renews the agent's lease
+    command_response  // the status in the agent's response to a command; it renews no lease
 };
 
 /// Returns the longest time for which a lease of `lease_s` may still be valid, measured on this node's clock.
@@ -35,8 +35,8 @@
     /// previous one.
     void clear_last_answered_heartbeat_number() { last_answered_heartbeat_number_ = 0; }
     /// Records that the lease of the current agent epoch expired under `term`. Further messages of the epoch
-    /// are stale under `term`, but not under a later term: another leader may have renewed the lease in
-    /// between.
+    /// are stale under `term`, but not under a later term: a leader other than this node may have renewed the
+    /// lease in between.
     void mark_lease_expired(Term term);
     /// Records that a command requesting an early heartbeat is sent at `now`, and increments the token count
     /// for that command.
--- a/src/workers/capacity_tracker.h
+++ b/src/workers/capacity_tracker.h
@@ -60,7 +60,7 @@
         Resources need;                   // resources reserved for each offer
         SteadyTime expires_at;
     };
-    /// Capacity reserved on one machine for offers and task starts. Kept by machine so that computing the
+    /// Capacity reserved on one machine for offers and task starts. Stored by machine so that computing the
     /// free capacity of a machine needs no search through all placement rounds.
     struct MachineReservations {
         Resources offered_capacity;
--- a/src/workers/leadership_announcer.cpp
+++ b/src/workers/leadership_announcer.cpp
@@ -85,7 +85,8 @@
     if (heartbeat && heartbeat->machine != id) heartbeat.reset();
     const bool is_wrong_epoch = heartbeat && heartbeat->sequence.agent_epoch != target.agent_epoch;
     if (is_wrong_epoch) target.agent_epoch = heartbeat->sequence.agent_epoch;
-    // A rejection because of the agent epoch is retried once without delay, with the epoch from the response.
+    // An announcement that the agent rejected because of the agent epoch is retried once without delay, with
+    // the epoch from the response.
     if (is_wrong_epoch && target.attempt_count == 0)
         target.next_attempt_at = {};
     else
--- a/src/workers/start_duration_histograms.h
+++ b/src/workers/start_duration_histograms.h
@@ -11,11 +11,11 @@
 
 /// Steps between a job's submission and the moment one of its tasks runs, in chronological order.
 enum class StartStep : std::uint8_t {
-    queue,     // from the job's submission until a leader assigns the task to a machine
-    commit,    // from the assignment until the start is committed to the key-value store
-    delivery,  // from the commit until a heartbeat response carries the start command
-    image,     // from sending the start command until the machine reports that it has the task's image
-    gang       // from the machine's report that it has the image until the task, and any gang it is in, runs
+    queue,     // the time from the job's submission until a leader assigns the task to a machine
+    commit,    // the time from the assignment until the start is committed to the key-value store
+    delivery,  // the time from the commit until a heartbeat response carries the start command
+    image,     // the time from sending the start command until the machine reports having the image
+    gang       // the time from having the image until the task runs, with any wait for the other gang members
 };
 constexpr std::size_t start_step_count = 5;
 /// Returns the name of a step of a task start on the status page.
--- a/src/workers/start_tracker.h
+++ b/src/workers/start_tracker.h
@@ -1,4 +1,4 @@
-/// Delivery and step durations of committed task starts.
+/// Tracks the delivery of start commands to workers, and the step durations of committed task starts.
 #pragma once
 #include <cstdint>
 #include <map>
