--- a/src/cluster/cache_freshness.h
+++ b/src/cluster/cache_freshness.h
@@ -15,7 +15,7 @@
         loading,      // all records are being listed for the first time; the state cache is unusable
         current,      // the state cache follows the key-value store through the watch
         stale,        // the state cache may have missed changes, and no watch refreshes it yet
-        catching_up,  // the state cache is stale, and a watch that refreshes it is in flight
+        catching_up,  // the state cache is stale, and a watch to refresh the cache is in flight
         reloading     // all records are being listed again, because the watch cannot be continued
     };
 
--- a/src/cluster/cancellation_watermark.h
+++ b/src/cluster/cancellation_watermark.h
@@ -1,5 +1,5 @@
-/// Tracks how recent this controller's knowledge of cancelled jobs is, to decide whether it may renew the
-/// leases of workers.
+/// Tracks how recent this controller's knowledge of cancelled jobs is, which decides whether the controller
+/// may renew the leases of workers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -41,8 +41,8 @@
     /// least once, and the current time is before `watermark() + renewal_window()`. Every response that
     /// renews a lease must also stop the worker's tasks whose jobs are known to be cancelled.
     [[nodiscard]] bool may_renew_leases() const;
-    /// Returns whether the cancellation watermark is more than 4 s old. While it is, the acknowledgements
-    /// that peers send to this controller list the cancellations that the peers know.
+    /// Returns whether the cancellation watermark is more than 4 s old. While the watermark lags, the
+    /// acknowledgements that peers send to this controller list the cancellations that the peers know.
     [[nodiscard]] bool is_lagging() const;
     /// Returns the cancellation watermark; the zero time before the first read of the key-value store.
     [[nodiscard]] SteadyTime watermark() const { return watermark_; }
--- a/src/cluster/pending_reads.cpp
+++ b/src/cluster/pending_reads.cpp
@@ -4,8 +4,9 @@
 
 namespace zincdyke {
 namespace {
-constexpr Duration read_timeout =
-    std::chrono::milliseconds(1700);  // shorter than the 2 s for which users wait
+// Timeout of a pending read, so that users get a response within 2 s even if the state cache is not
+// refreshed.
+constexpr Duration read_timeout = std::chrono::milliseconds(1700);
 constexpr std::size_t max_pending_reads = 2000;
 }  // namespace
 
--- a/src/cluster/shard_leadership.h
+++ b/src/cluster/shard_leadership.h
@@ -44,7 +44,8 @@
 
   private:
     enum class RecordWrite : std::uint8_t { none, claiming, transferring };
-    /// The state of one shard that is known to this process only, in addition to the leader record.
+    /// State of one shard that only this process keeps, in addition to the leader record in the key-value
+    /// store.
     struct LocalState {
         std::optional<Term> claimed_term;  // term of this process's latest successful claim
         // Time at which this process transferred the shard's leadership to another controller; not set if
--- a/src/cluster/state_watcher.cpp
+++ b/src/cluster/state_watcher.cpp
@@ -53,8 +53,8 @@
     if (!store_.reachable() || has_stalled) {
         freshness_.on_invalidated();
     } else if (freshness_.begin_catch_up()) {
-        // The watch in flight may still hang because of a network partition that has ended. It is replaced by
-        // a new watch, which requests an immediate response.
+        // The watch in flight may still hang because of a network partition that has ended. A new watch,
+        // which requests an immediate response, replaces the watch in flight.
         ++watch_generation_;
         start_watch();
     }
--- a/src/jobs/commit_forwarder.cpp
+++ b/src/jobs/commit_forwarder.cpp
@@ -79,7 +79,7 @@
 // Reclaims operations from committers that are unreachable, were restarted, lost their session or did not
 // respond in time. If such a committer still commits an operation, one of the two commits fails with a
 // version conflict. A committer that is only busy is not considered failed, since reclaiming operations that
-// it is still batching would cause extra writes.
+// such a committer is still batching would cause extra writes.
 void CommitForwarder::reclaim_operations() {
     env_.after(reclaim_interval, [this] { reclaim_operations(); });
     for (auto it = unanswered_operations_.begin(); it != unanswered_operations_.end();) {
--- a/src/jobs/committed_records.cpp
+++ b/src/jobs/committed_records.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 // Applies job records before pages: removing a job marks its pages as orphaned, and the deletions of pages in
-// the same transaction then clear these marks.
+// the same transaction clear these marks afterwards.
 void apply_committed(StateCache& state_cache, const Transaction& transaction, Revision revision) {
     for (const auto& write : transaction.writes)
         if (is_job(write.key)) state_cache.apply({write.key, write.value, revision});
--- a/src/jobs/jobs_api.cpp
+++ b/src/jobs/jobs_api.cpp
@@ -105,9 +105,9 @@
 }
 
 // Waits until a read that was sent to the store after the user's request arrived has updated the state cache;
-// many requests share one read. The cache then is at least as new as any response that any controller has
-// sent about the job. A job that is not in the cache has ended, if it has a final record, or was never
-// accepted.
+// many requests share one read. After that read, the cache is at least as new as any response that any
+// controller has sent about the job. A job that is not in the cache has ended, if it has a final record, or
+// was never accepted.
 void JobsApi::get(const JobId& id, const Reply& reply) {
     cluster_.await_fresh_state([this, id, reply](bool is_fresh) {
         if (!is_fresh) return reply(try_later_response());
--- a/src/jobs/operation_rules.h
+++ b/src/jobs/operation_rules.h
@@ -19,8 +19,7 @@
     no_attempt_allowed,  ///< tasks of the gang's failed attempt are placed, so no new attempt may start
     unknown_team,        ///< the settings do not define the job's team
     over_quota,          ///< the start would exceed the team's quota limit
-    zone_full  ///< the start would exceed a page's task limit in the zone of the machine (jobs spread over
-               ///< zones)
+    zone_full            ///< the start would exceed a page's task limit per zone (job spread over zones)
 };
 
 /// Applies a task start or end to `page_tasks`, the tasks of page `page` in order, and to `team_usage`, the
--- a/src/jobs/relay.cpp
+++ b/src/jobs/relay.cpp
@@ -25,7 +25,7 @@
 // How long a job waits for its next placement round after a round that found no capacity for some of its
 // tasks.
 constexpr Duration placement_failure_delay = std::chrono::milliseconds(400);
-// Timeout of a placement round. If it has no result by then, its tasks are requested again.
+// Timeout of a placement round. If a round has no result within this time, its tasks are requested again.
 constexpr Duration round_timeout = std::chrono::seconds(4);
 // How long placements of a job must fail before its relay changes, and the minimum time between two changes.
 constexpr Duration relay_change_delay = std::chrono::seconds(4);
--- a/src/jobs/transaction_builder.cpp
+++ b/src/jobs/transaction_builder.cpp
@@ -11,8 +11,8 @@
 
 namespace zincdyke {
 namespace {
-// No more pages are added to a transaction once the total size of its page records exceeds this limit. It is
-// well below the store's limit of 64 KiB for a transaction.
+// No more pages are added to a transaction once the total size of its page records exceeds this limit. The
+// limit is well below the store's limit of 64 KiB for a transaction.
 constexpr std::size_t max_total_record_bytes = std::size_t{48} * 1024;
 constexpr std::size_t max_frozen_pages_per_page = 2;  // frozen pages that contain tasks of one small page
 constexpr std::size_t max_writes_per_page = 3;        // a page record, and two records of a finished job
@@ -118,9 +118,9 @@
     return result;
 }
 
-// Returns whether a page's record fits the store's limit for the size of a value. This is the strictest limit
-// in the settings once all controllers can read small pages, or once the store has rejected a value for its
-// size; until then, it is the store's current limit.
+// Returns whether a page's record fits the store's limit for the size of a value. The limit is the strictest
+// one in the settings once all controllers can read small pages or the store has rejected a value for its
+// size; before that, it is the store's current limit.
 bool TransactionBuilder::fits_value_limit(std::size_t task_count, std::size_t record_bytes) const {
     if (task_count <= state_cache_.safe_page_size()) return true;
     const bool use_strictest_limits =
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -15,10 +15,14 @@
 /// Priorities of requests to the key-value store, ordered from the most to the least urgent. They decide
 /// which requests are sent first when the request budget is short.
 enum class RequestPriority : std::uint8_t {
-    lease,   ///< used for session leases, records of nodes, leaders, machine types, and lists of all records
-    report,  ///< used for commits of task ends, and records of jobs, team locks and format levels
-    decision,  ///< used for commits of task starts and of relay changes
-    user       ///< used for requests on behalf of users, and for deletions of orphaned pages
+    /// Used for session leases, lists of all records, and records of nodes, leaders and machine types.
+    lease,
+    /// Used for commits of task ends, and for records of jobs, team locks and format levels.
+    report,
+    /// Used for commits of task starts and of relay changes.
+    decision,
+    /// Used for requests on behalf of users, and for deletions of orphaned pages.
+    user
 };
 constexpr std::size_t request_priority_count = 4;
 
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -137,7 +137,7 @@
 // Renews a lease by answering 200; no other function does so. Each such response stops the tasks of all jobs
 // known to be cancelled. If this node may have missed a cancellation for so long that a lease renewed now
 // would outlast `cancel_s`, the response is 503: the worker tries other controllers, or its lease expires.
-// This covers a leader that has lost only its connection to the key-value store.
+// The 503 response is needed for a leader that has lost only its connection to the key-value store.
 void HeartbeatHandler::renew_lease(const wire::Heartbeat& heartbeat, Term term,
                                    const std::vector<wire::Command>& commands, const Reply& reply) {
     if (!cancellation_watermark_.may_renew_leases()) {
--- a/src/workers/machine_availability.h
+++ b/src/workers/machine_availability.h
@@ -23,8 +23,8 @@
 
     /// Whether new tasks may be placed on the machine now.
     [[nodiscard]] bool is_schedulable(const MachineId& id, const Machine& machine) const;
-    /// Starts draining the machine if it is idle, and confirms that to `from`. A request for a busy machine
-    /// gets no response; the autoscaler repeats it later.
+    /// Starts draining the machine if it is idle, and confirms the drain to the controller `from`. A request
+    /// for a busy machine gets no response; the autoscaler repeats it later.
     void on_drain_request(const NodeName& from, const wire::DrainRequest& request);
     /// Ends drains that started more than 20 s ago, so that a machine that the cloud did not terminate
     /// accepts tasks again. Called periodically.
