--- a/src/jobs/pending_operation.h
+++ b/src/jobs/pending_operation.h
@@ -60,8 +60,8 @@
 struct PendingOperation {
     OperationKind kind = OperationKind::start;
     TaskIndex task = 0;
-    Attempt attempt =
-        0;  ///< number of the attempt of `task` that is completed or released; unused for a start
+    /// Number of the attempt of `task` that is completed or released; unused for a start.
+    Attempt attempt = 0;
     MachineId machine;
     std::string zone;                             ///< the zone of the machine; set only for a start
     std::optional<ReleaseReason> release_reason;  ///< set only for a release decided by this node
