--- a/src/jobs/commit_executor.h
+++ b/src/jobs/commit_executor.h
@@ -36,18 +36,19 @@
 /// failed transactions. The executor must outlive the timers and store requests that it starts.
 class CommitExecutor {
   public:
-    /// Totals of the commit transactions that this node sent since the process started, and of their results.
+    /// Totals of the commit transactions that this node sent, and of the task starts and task ends
+    /// (completions and releases) that they committed, since the process started.
     struct Counts {
-        std::uint64_t sent_transactions = 0, written_pages = 0, committed_starts = 0, committed_ends = 0,
-                      transaction_conflicts = 0;
+        std::uint64_t sent_transactions = 0, written_pages = 0, committed_task_starts = 0,
+                      committed_task_ends = 0, transaction_conflicts = 0;
     };
 
     /// Keeps all reference arguments; they must outlive the executor.
     CommitExecutor(Env& env, const Settings& settings, StoreClient& store, StateCache& state_cache,
                    ClusterCoordinator& cluster, CommitQueue& queue, JobRecordWriter& record_writer,
                    CommitObserver& observer);
-    /// Builds and sends the next transaction of a commit queue. It may exceed `max_writes` writes by those of
-    /// its last page. Sends nothing if no operation of the queue can be committed now.
+    /// Builds and sends the next transaction of a commit queue. The transaction may exceed `max_writes` by
+    /// the writes for its last page. Sends nothing if no operation of the queue can be committed now.
     void commit_next(const CommitQueueKey& key, std::size_t max_writes);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
--- a/src/jobs/job_record_writer.h
+++ b/src/jobs/job_record_writer.h
@@ -22,7 +22,7 @@
     void close_job(const JobId& id);
     /// Sets the page size in the job's record to the size that fits the strictest store limits. Every commit
     /// of a task start or end has the job record's version as a condition, so no transaction that was built
-    /// for the larger pages can succeed afterwards.
+    /// for the larger pages can succeed after the change.
     void resize_pages(const JobId& id);
 
   private:
@@ -34,7 +34,8 @@
     std::set<JobId> resizing_jobs_;
 };
 
-/// Returns the value of a finished job's final record, which says whether the job was cancelled or is done.
+/// Returns the value of a finished job's final record, which contains whether the job was cancelled or is
+/// done.
 [[nodiscard]] Json final_record(const Job& job);
 
 }  // namespace zincdyke
