--- a/src/base/env.h
+++ b/src/base/env.h
@@ -53,7 +53,8 @@
     virtual ~Env() = default;
     /// Returns the current time of the monotonic clock.
     virtual SteadyTime now() = 0;
-    /// Returns the current wall-clock time, which is the time of day.
+    /// Returns the current date and time. Unlike `now`, the result may jump when the system clock is
+    /// adjusted.
     virtual WallTime wall() = 0;
     /// Calls `fn` once after `delay`. The returned id can be passed to `cancel`.
     virtual TimerId after(Duration delay, std::function<void()> fn) = 0;
--- a/src/cluster/cluster_coordinator.h
+++ b/src/cluster/cluster_coordinator.h
@@ -23,11 +23,9 @@
 namespace zincdyke {
 
 /// Provides the other components of a controller with the live controllers, the leaderships of shards and of
-/// the autoscaler, and up-to-date reads of the state.
-///
-/// The coordinator owns the classes that keep the session, the state cache and the leaderships current, and
-/// periodically claims the shards that this controller should lead. All of its functions run on the event
-/// loop.
+/// the autoscaler, and up-to-date reads of the state. Owns the classes that keep the session, the state cache
+/// and the leaderships current, and periodically claims the shards that this controller should lead. All
+/// functions run on the event-loop thread.
 class ClusterCoordinator {
   public:
     /// All constructor arguments must outlive the ClusterCoordinator.
--- a/src/jobs/placement_backoff.h
+++ b/src/jobs/placement_backoff.h
@@ -36,7 +36,7 @@
     /// Records the start of a placement round, which delays the next round of the same placement group.
     void on_round_started(const PlacementGroup& group, SteadyTime now);
     /// Records that no capacity was found for tasks of the job. Until `retry_at`, no placement round starts
-    /// for jobs of the same placement group that need at least as many resources.
+    /// for jobs that have the same job class and placement constraints and need at least as many resources.
     void on_placement_failed(const Job& job, SteadyTime now, SteadyTime retry_at);
     /// Ends the delay of all placement groups whose failed tasks fit into `freed`, the capacity that was
     /// freed on a machine of type `machine_type`. Returns these groups.
--- a/src/store/frozen_pages.h
+++ b/src/store/frozen_pages.h
@@ -8,8 +8,9 @@
 
 namespace zincdyke {
 
-/// Returns the tasks of a small page as recorded in the job's frozen pages. Tasks whose frozen page was never
-/// written are pending.
+/// Returns the tasks of a small page (a page with fewer tasks than the standard size) as recorded in the
+/// job's frozen pages, which are its standard pages from before the size changed. Tasks whose frozen page was
+/// never written are pending.
 [[nodiscard]] std::vector<TaskState> tasks_in_frozen_pages(const Job& job, const PageLayout& layout,
                                                            std::uint32_t small_page);
 
--- a/src/store/job.h
+++ b/src/store/job.h
@@ -11,7 +11,8 @@
 
 namespace zincdyke {
 
-/// The placement state of one task.
+/// Whether one task is pending, placed or done, with its attempt number and, if it is placed, its machine and
+/// zone.
 struct TaskState {
     enum class Status : std::uint8_t {
         pending,  ///< the task is not on a machine; the default if no record contains the task
--- a/src/store/machine_images.h
+++ b/src/store/machine_images.h
@@ -21,8 +21,8 @@
     /// Returns whether the image is among the machine's most recently placed images that together fit a cache
     /// of `cache_gb`.
     [[nodiscard]] bool holds(const MachineId& machine, const std::string& image, double cache_gb) const;
-    /// Calls `fn` with the name of each image that a cache of `cache_gb` holds, the most recently placed
-    /// first.
+    /// Calls `fn` with the name of each of the machine's most recently placed images that together fit a
+    /// cache of `cache_gb`, the most recent first.
     template <class Fn>
     void for_each(const MachineId& machine, double cache_gb, Fn fn) const {
         const auto found = machines_.find(machine);
--- a/src/store/page_layout.h
+++ b/src/store/page_layout.h
@@ -56,9 +56,10 @@
     /// `standard_page_count()`.
     [[nodiscard]] TaskIndex task_count_in_standard_page(std::uint32_t page) const;
 
-    /// Returns the frozen pages that contain the tasks of a small page.
+    /// Returns the frozen pages that recorded the tasks of a small page before the job switched from
+    /// standard pages to small pages, which have fewer tasks per record.
     [[nodiscard]] PageRange frozen_pages_of(std::uint32_t small_page) const;
-    /// Returns the small pages that contain tasks of a frozen page.
+    /// Returns the small pages that replace a frozen page: those that contain at least one of its tasks.
     [[nodiscard]] PageRange small_pages_of(std::uint32_t frozen_page) const;
 
   private:
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -43,8 +43,8 @@
     void apply(const KeyUpdate& update);
     /// Removes all records before a reload. Keeps known cancellations, images and the fleet's format level.
     void clear();
-    /// Marks a job as cancelled before this node has read the cancellation, because a peer that confirmed it
-    /// to its user reported it. Older versions of the job's record do not revert it.
+    /// Marks a job as cancelled because a peer reported its cancellation, which this node may not have read
+    /// from the store yet. The mark remains when older versions of the job's record are applied.
     void mark_cancelled(const JobId& id);
     /// Removes the images of a terminated machine.
     void forget_machine(const MachineId& machine) { images_.forget(machine); }
@@ -154,13 +154,14 @@
     [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const { return machine_types_; }
     /// Returns a machine type; null if the cloud does not have it.
     [[nodiscard]] const wire::MachineType* machine_type(const std::string& name) const;
-    /// Returns whether a machine with an image cache of `cache_gb` has the image, derived from the tasks
-    /// placed on it.
+    /// Returns whether `machine` is expected to have the image in its image cache of `cache_gb`, which holds
+    /// the images of the tasks most recently placed on the machine.
     [[nodiscard]] bool holds_image(const MachineId& machine, const std::string& image,
                                    double cache_gb) const {
         return images_.holds(machine, image, cache_gb);
     }
-    /// Calls `fn` with the name of each image that a machine with an image cache of `cache_gb` has.
+    /// Calls `fn` with the name of each image that `machine` is expected to have in its image cache of
+    /// `cache_gb`: the images of the tasks most recently placed on it, as far as they fit.
     template <class Fn>
     void for_each_image(const MachineId& machine, double cache_gb, Fn fn) const {
         images_.for_each(machine, cache_gb, fn);
--- a/src/store/store_requests.h
+++ b/src/store/store_requests.h
@@ -15,13 +15,14 @@
 /// Priorities of requests to the key-value store, ordered from the most to the least urgent. They decide
 /// which requests are sent first when the request budget is short.
 enum class RequestPriority : std::uint8_t {
-    /// Used for session leases, lists of all records, and records of nodes, leaders and machine types.
+    /// Priority of requests for session leases, lists of all records, and records of nodes, leaders and
+    /// machine types.
     lease,
-    /// Used for commits of task ends, and for records of jobs, team locks and format levels.
+    /// Priority of commits of task ends, and of requests for records of jobs, team locks and format levels.
     report,
-    /// Used for commits of task starts and of relay changes.
+    /// Priority of commits of task starts and of relay changes.
     decision,
-    /// Used for requests on behalf of users, and for deletions of orphaned pages.
+    /// Priority of requests on behalf of users, and of deletions of orphaned pages.
     user
 };
 constexpr std::size_t request_priority_count = 4;
@@ -98,7 +99,7 @@
     /// The revision of the store's state that the items were read from.
     Revision revision;
 };
-/// Result of requesting a lease.
+/// Whether the store granted a requested lease, and the id of the granted lease.
 struct LeaseResult {
     Outcome outcome = Outcome::unknown;
     /// The store's id of the lease; 0 unless the outcome is `ok`.
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -38,9 +38,11 @@
     bool usable = false;  ///< Whether tasks may be placed on the machine.
     bool silent = false;  ///< Whether the machine has been unreachable for longer than a lease.
     std::uint64_t agent_epoch = 0;
-    std::uint32_t busy_tasks = 0;  ///< Number of assigned tasks; at least 1 unless the machine is idle.
-    std::uint32_t idle_ms = 0;     ///< Time for which the machine has been idle.
-    std::uint32_t silent_ms = 0;   ///< Time for which the machine has been unreachable.
+    /// Number of tasks placed on the machine; 0 if the machine is idle. A machine without placed tasks that
+    /// has running tasks or reserved capacity is not idle and reports 1.
+    std::uint32_t busy_tasks = 0;
+    std::uint32_t idle_ms = 0;    ///< Time for which the machine has been idle.
+    std::uint32_t silent_ms = 0;  ///< Time for which the machine has been unreachable.
 };
 /// Acknowledges which job cancellations the sender knows, and so advances the receiver's cancellation
 /// watermark (cluster/cancellation_watermark). Each timestamp is a reading, in microseconds, of the steady
--- a/src/workers/agent_link.h
+++ b/src/workers/agent_link.h
@@ -38,8 +38,8 @@
     /// are stale under `term`, but not under a later term: a leader other than this node may have renewed the
     /// lease in between.
     void mark_lease_expired(Term term);
-    /// Records that a command requesting an early heartbeat is sent at `now`, and increments the token count
-    /// for that command.
+    /// Records that a command requesting an early heartbeat is sent at `now`, and increments the counter in
+    /// the fencing token, so that the command has a higher token than earlier messages to the agent.
     void record_heartbeat_requested(SteadyTime now);
 
     /// Whether an agent's message with this sequence must be ignored: it is not newer than the newest message
@@ -65,8 +65,8 @@
     [[nodiscard]] wire::FencingToken fencing_token(Term term) const {
         return {term, term_ == term ? token_count_ : 0};
     }
-    /// Whether the token count has reached its maximum, so that no early heartbeat can be requested under the
-    /// current term.
+    /// Whether the counter in the fencing token has reached its maximum. Each request for an early heartbeat
+    /// needs a higher counter, so no further request is possible until the leader's term changes.
     [[nodiscard]] bool is_token_exhausted() const { return token_count_ == wire::FencingToken::max_count; }
     /// Whether an early heartbeat was requested less than `interval` before `now`.
     [[nodiscard]] bool was_heartbeat_requested(SteadyTime now, Duration interval) const;
@@ -83,7 +83,7 @@
 
   private:
     void reset_for_term(Term term);
-    Term term_;  // leader term under which the next five members were recorded
+    Term term_;  // leader term under which `has_received_term_` to `heartbeat_requested_at_` were recorded
     bool has_received_term_ = false;
     bool has_sent_heartbeat_ = false;
     // Sending a response does not prove that it arrives. Proof is a message with a term that only this node
--- a/src/workers/capacity_notifier.h
+++ b/src/workers/capacity_notifier.h
@@ -34,7 +34,7 @@
     CapacityTracker& capacity_;
     const MachineAvailability& availability_;
     std::map<std::string, Resources>
-        freed_by_machine_type_;  // largest free amounts to send; empty: send timer is not running
+        freed_by_machine_type_;  // largest free capacity to send; empty if no notification is scheduled
 };
 
 }  // namespace zincdyke
--- a/src/workers/command_sender.h
+++ b/src/workers/command_sender.h
@@ -52,8 +52,8 @@
     // Minimum time between heartbeat requests to one worker, in lease durations. A worker executes at most
     // one such request in half a lease duration.
     static constexpr double heartbeat_request_interval_lease_fraction = 0.51;
-    // A heartbeat is only requested if the next regular heartbeat is at least this far away. The minimum is
-    // lower if a service replica waits for its start.
+    // A heartbeat is requested only if the machine's next regular heartbeat is expected at least this much
+    // later. The minimum is lower if the start of a service replica has not been sent yet.
     static constexpr Duration min_heartbeat_wait = std::chrono::seconds(2);
     static constexpr Duration min_heartbeat_wait_for_service = std::chrono::milliseconds(200);
     void send_stops();
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -65,8 +65,8 @@
     const SteadyTime now = env_.now();
     AgentLink& link = machine.link;
     // A heartbeat that arrives more than a lease duration after the previous one may have been delayed in the
-    // network, or its agent may have learned the term from something other than a response. So it does not
-    // prove that the agent receives this node's responses; the agent's next heartbeat does.
+    // network, or its agent may have learned the term from something other than a response. Such a heartbeat
+    // does not prove that the agent receives this node's responses; the agent's next heartbeat does.
     const bool is_overdue =
         link.is_lease_overdue(heartbeat.sequence.agent_epoch, term, now, settings_.lease_s);
     link.record_message_received(now);
--- a/src/workers/http_messages.h
+++ b/src/workers/http_messages.h
@@ -22,7 +22,7 @@
 /// Returns the 503 response to a heartbeat: the worker should try another controller, or this one again after
 /// one second.
 [[nodiscard]] HttpResponse unavailable_response();
-/// Returns a request that carries commands to a worker. The worker rejects the request if it has seen a
+/// Returns a request that carries commands to a worker. The worker rejects the request if it has received a
 /// higher fencing token or if `agent_epoch` is not its current epoch.
 [[nodiscard]] HttpRequest command_request(wire::FencingToken token,
                                           const std::vector<wire::Command>& commands,
--- a/src/workers/leadership_announcer.h
+++ b/src/workers/leadership_announcer.h
@@ -13,9 +13,9 @@
 
 namespace zincdyke {
 
-/// Sends this node's term to machines that have not received it yet. Otherwise, a former leader that is
-/// partitioned from everything but its workers would keep commanding them, cancelled tasks included. Owns the
-/// addresses of the machines in all shards, which come from peer heartbeats and from the cloud's machine
+/// Sends this node's term to machines that have not received it yet. Without these announcements, workers
+/// would keep obeying a former leader that can reach only them, and would keep running cancelled tasks. Owns
+/// the addresses of the machines in all shards, which come from peer heartbeats and from the cloud's machine
 /// list.
 class LeadershipAnnouncer {
   public:
--- a/src/workers/lease_monitor.cpp
+++ b/src/workers/lease_monitor.cpp
@@ -34,8 +34,8 @@
     if (!cluster_.is_up_to_date()) return;
     const SteadyTime now = env_.now();
     const Duration lease = seconds(settings_.lease_s);
-    // Maximum time without a heartbeat from any machine of a shard before its leadership is transferred. The
-    // time exceeds random gaps between the heartbeats of several machines.
+    // This node transfers a shard's leadership if no machine of the shard has sent a heartbeat for longer
+    // than this time. Every connected machine normally sends a heartbeat within this time.
     const Duration max_silence =
         seconds(std::max(settings_.heartbeat_interval_s * 1.75, settings_.lease_s * 0.3));
     std::map<std::uint32_t, std::size_t> reachable_machine_counts;
--- a/src/workers/lease_monitor.h
+++ b/src/workers/lease_monitor.h
@@ -22,7 +22,8 @@
                  ClusterCoordinator& cluster, MachineRegistry& registry, const LeadershipAnnouncer& announcer,
                  TaskReconciler& reconciler);
 
-    /// Records that a heartbeat of the machine arrived.
+    /// Sets the time of the last heartbeat in the machine's shard to now, which postpones the transfer of the
+    /// shard's leadership.
     void on_heartbeat(const MachineId& id);
     /// Called when this node becomes the shard's leader. Counts missing heartbeats of the shard's machines
     /// from now, because other leaders may have received their heartbeats before.
@@ -37,7 +38,8 @@
     void expire_leases();
 
   private:
-    // Minimum number of silent machines in a shard for which the shard's leadership is transferred.
+    // The leadership of a shard without heartbeats is transferred only if at least this many machines sent
+    // messages within the last lease duration or, if no heartbeat arrived yet, have a known address.
     static constexpr std::size_t min_silent_machines = 5;
     // Time without messages after which a machine without tasks is removed from the registry, in lease
     // durations.
--- a/src/workers/placement_scorer.cpp
+++ b/src/workers/placement_scorer.cpp
@@ -75,8 +75,8 @@
     return candidate;
 }
 
-// Whether to leave the machine to jobs with precedence. Returns true until `max_deferral` has passed since
-// the machine was first left to them.
+// Whether to withhold the machine from a job in favor of jobs with precedence. Returns true until
+// `max_deferral` has passed since the machine was first withheld.
 bool PlacementScorer::should_defer(const MachineId& id) {
     const SteadyTime now = env_.now();
     return now - deferred_since_.try_emplace(id, now).first->second < max_deferral;
--- a/src/workers/placement_scorer.h
+++ b/src/workers/placement_scorer.h
@@ -39,7 +39,7 @@
 };
 
 /// Answers placement requests with offers, each of which reserves capacity until the placement decision. Owns
-/// the time at which each machine was first left to jobs with precedence.
+/// the time since which each machine has been withheld from a job in favor of jobs with precedence.
 class PlacementScorer {
   public:
     PlacementScorer(Env& env, const Settings& settings, const StateCache& state_cache,
@@ -50,8 +50,8 @@
     /// Commits task starts for the accepted offers. Sends the relay a placement failure with the tasks that
     /// cannot be started.
     void on_placement_decision(const wire::PlacementDecision& decision);
-    /// Called when a machine was removed from the registry. Discards the time at which the machine was first
-    /// left to jobs with precedence.
+    /// Called when a machine was removed from the registry. Discards the time since which the machine was
+    /// withheld in favor of jobs with precedence.
     void on_machine_removed(const MachineId& id) { deferred_since_.erase(id); }
 
     /// Numbers of placement requests answered and of offers made since the process started.
@@ -65,8 +65,8 @@
     static constexpr double precedence_wait_s = 5;
     // Minimum age difference, in addition to the clock skew, for precedence over a job of the same rank.
     static constexpr double precedence_min_age_gap_s = 3;
-    // Maximum time for which a machine is left to jobs with precedence. Otherwise a job whose relay is
-    // unavailable would keep the machine idle.
+    // Maximum time for which a machine is withheld from a job in favor of jobs with precedence. Without this
+    // limit, a job whose relay is unavailable would keep the machine idle.
     static constexpr Duration max_deferral = std::chrono::milliseconds(1500);
     static constexpr int max_error_penalty = 5;
     static constexpr int failed_on_machine_penalty = 2;
@@ -96,7 +96,7 @@
     const ClusterCoordinator& cluster_;
     PlacementScorerComponents components_;
     std::map<MachineId, SteadyTime>
-        deferred_since_;  // time at which a machine was first left to jobs with precedence
+        deferred_since_;  // time since which a machine is withheld for jobs with precedence
     Counts counts_;
 };
 
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -132,8 +132,9 @@
 std::optional<ReleaseReason> TaskReconciler::absence_reason(const wire::Heartbeat& heartbeat, const Job& job,
                                                             const StartDelivery* delivery) {
     if (delivery != nullptr && delivery->was_reported) return ReleaseReason::missing_from_heartbeat;
-    // A start that the worker never reported counts as not acknowledged if the agent epoch in which it was
-    // sent has ended, or if several responses with the start were sent.
+    // Start commands are sent in heartbeat responses, and a worker that received one reports the task in its
+    // next heartbeat. A start is not acknowledged if the task is still missing after `max_start_sends`
+    // responses, or after the end of the agent epoch in which the command was sent.
     if (delivery != nullptr &&
         (delivery->agent_epoch < heartbeat.sequence.agent_epoch || delivery->sent_count >= max_start_sends))
         return ReleaseReason::start_not_acknowledged;
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -35,8 +35,8 @@
     void release_all_tasks(const MachineId& id, ReleaseReason reason);
 
   private:
-    // Maximum number of responses that carry the same start command. If the worker still does not report the
-    // task, the start counts as not acknowledged.
+    // Maximum number of heartbeat responses that carry the same start command. If the worker does not report
+    // the task after that, its attempt is released as not acknowledged.
     static constexpr int max_start_sends = 2;
     [[nodiscard]] bool is_placed_on(const MachineId& id, const wire::TaskStatus& status) const;
     std::optional<wire::Command> reconcile_reported_task(const MachineId& id,
