--- a/src/app/node.h
+++ b/src/app/node.h
@@ -8,7 +8,7 @@
 #include "autoscaler/autoscaler.h"
 #include "base/env.h"
 #include "base/settings.h"
-#include "cloud/cloud.h"
+#include "cloud/cloud_client.h"
 #include "cluster/cancellation_watermark.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/cluster_observer.h"
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -180,19 +180,19 @@
     const SteadyTime now = env_.now();
     autoscaler::PlanInput input;
     Faulty faulty;
-    input.types = &state_cache_.machine_types();
-    input.most_new = provisioner_.max_planned();
+    input.machine_types = &state_cache_.machine_types();
+    input.max_new_machines = provisioner_.max_planned();
     add_machines(input, faulty, now);
     find_silent_placements(faulty, now);
     add_rentals_under_way(input);
-    input.refused = provisioner_.refused(now);
+    input.unavailable_kinds = provisioner_.refused(now);
     input.demands = autoscaler::waiting_demands(settings_, policy_, state_cache_, env_.wall());
     reservations_.update(input);
-    input.demands = autoscaler::merge(std::move(input.demands));
+    input.demands = autoscaler::merge_similar(std::move(input.demands));
     const autoscaler::Plan plan = autoscaler::make_plan(std::move(input));
     reservations_.announce();
-    if (inventory_complete(now)) provisioner_.rent(plan.rent);
-    drain_idle(plan.wanted, now);
+    if (inventory_complete(now)) provisioner_.rent(plan.new_machines);
+    drain_idle(plan.needed_machines, now);
     return_faulty(std::move(faulty));
 }
 
@@ -218,7 +218,7 @@
                             : machine.phase == wire::MachinePhase::running
                                 ? add_unheard_slots(bin, machine, *type, faulty, now)
                                 : add_booting_slots(bin, machine, *type, faulty, now);
-        if (usable) input.bins.push_back(std::move(bin));
+        if (usable) input.machine_bins.push_back(std::move(bin));
     }
 }
 
@@ -231,8 +231,8 @@
         const Job* job = state_cache_.job(ref.job);
         if (job == nullptr) continue;
         free -= job->spec.need;
-        const double run_s = autoscaler::expected_run_s(job->spec);
-        const double left_s = std::max(min_task_left_s, run_s * task_left_of_estimate);
+        const double run_time_s = autoscaler::expected_run_time_s(job->spec);
+        const double left_s = std::max(min_task_left_s, run_time_s * task_left_of_estimate);
         bin.slots.push_back({left_s, job->spec.need});
     }
     bin.slots.push_back({0, free});
@@ -245,7 +245,7 @@
                                    const wire::MachineType& type, Faulty& faulty, SteadyTime now) const {
     if (machine.unheard_since == SteadyTime{}) machine.unheard_since = now;
     const Duration unheard = now - machine.unheard_since;
-    const double keep_s = settings_.lease_s + policy_.silent_keep_s + unheard_margin_s;
+    const double keep_s = settings_.lease_s + policy_.silent_grace_s + unheard_margin_s;
     if (!machine.ever_up && unheard > seconds(keep_s)) faulty.silent.push_back(bin.id);
     if (unheard > seconds(unheard_usable_s)) return false;
     bin.slots.push_back({unheard_free_in_s, type.capacity});
@@ -257,7 +257,7 @@
                                    const wire::MachineType& type, Faulty& faulty, SteadyTime now) const {
     if (machine.ever_up) return false;
     const double age_s = machine.age_s + to_seconds(now - machine.first_seen);
-    if (age_s > type.boot_s * policy_.boot_limit + boot_margin_s) {
+    if (age_s > type.boot_s * policy_.boot_timeout_factor + boot_margin_s) {
         faulty.slow.push_back(bin.id);
         return false;
     }
@@ -280,14 +280,14 @@
         if (type == nullptr) continue;
         const autoscaler::Bin bin{
             MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->capacity}}, false, {}};
-        input.bins.insert(input.bins.end(), count, bin);
+        input.machine_bins.insert(input.machine_bins.end(), count, bin);
     }
 }
 
 // Out of touch beyond its lease: its tasks are lost anyway, but a cut may still end. One that its present
 // leader never heard can't be proven empty but by its return.
 bool Autoscaler::is_lost(const wire::MachineStatus& beat) const {
-    const double keep_s = beat.address.empty() ? never_heard_keep_s : policy_.silent_keep_s;
+    const double keep_s = beat.address.empty() ? never_heard_keep_s : policy_.silent_grace_s;
     return beat.silent && beat.silent_ms > (settings_.lease_s + keep_s) * 1000;
 }
 
@@ -314,8 +314,8 @@
 
 bool Autoscaler::is_idle(const wire::MachineStatus& beat, const wire::MachineType* type) const {
     if (beat.silent || beat.busy_tasks > 0) return false;
-    double keep_s = policy_.idle_keep_s;
-    if (type != nullptr) keep_s = std::max(keep_s, type->boot_s * policy_.idle_keep_boots);
+    double keep_s = policy_.min_idle_s;
+    if (type != nullptr) keep_s = std::max(keep_s, type->boot_s * policy_.min_idle_boot_times);
     return beat.idle_ms >= keep_s * 1000;
 }
 
--- a/src/autoscaler/class_reservations.cpp
+++ b/src/autoscaler/class_reservations.cpp
@@ -56,9 +56,9 @@
     }
     Demand demand;
     demand.spec = &spec;
-    demand.pin = spec.zone;
-    demand.tasks = static_cast<TaskIndex>(machines_ready - std::min(machines_ready, clearable));
-    demand.run_s = std::max(1.0, expected_run_s(spec));
+    demand.required_zone = spec.zone;
+    demand.task_count = static_cast<TaskIndex>(machines_ready - std::min(machines_ready, clearable));
+    demand.run_time_s = std::max(1.0, expected_run_time_s(spec));
     return demand;
 }
 
@@ -97,15 +97,15 @@
     for (const RatedBin& rated : bins) keep(rated.bin);
     Demand demand;
     demand.spec = &spec;
-    demand.pin = spec.zone;
-    demand.tasks = static_cast<TaskIndex>(missing - std::min(missing, waiting));
-    demand.run_s = expected_run_s(spec);
+    demand.required_zone = spec.zone;
+    demand.task_count = static_cast<TaskIndex>(missing - std::min(missing, waiting));
+    demand.run_time_s = expected_run_time_s(spec);
     return demand;
 }
 
 std::size_t ClassReservations::standby_places(const ArrivalStatistics& arrivals,
                                               const wire::MachineType& type, WallTime now) const {
-    if (policy_.reserve <= 0) return 0;
+    if (policy_.standby_factor <= 0) return 0;
     const wire::JobSpec& spec = arrivals.latest_spec();
     const double boot_s = type.boot_s + spec.image_gb / type.fetch_gb_per_s;
     return static_cast<std::size_t>(std::ceil(arrivals.machines_per_s(now) * boot_s)) + arrivals.largest();
@@ -124,7 +124,7 @@
     const wire::JobSpec& spec = arrivals.latest_spec();
     const auto image_shares = arrivals.image_shares();
     std::vector<RatedBin> rated;
-    for (Bin& bin : plan_.bins) {
+    for (Bin& bin : plan_.machine_bins) {
         const wire::MachineType* type = state_cache_.machine_type(bin.type);
         if (!may_reserve(bin, type, spec) || free_places(bin, spec) == 0) continue;
         const double kept_bonus = previous_.contains(bin.id) ? idle_reserved_bonus : 0;
@@ -182,9 +182,10 @@
 std::size_t ClassReservations::standby(const ArrivalStatistics& arrivals, const wire::MachineType& type,
                                        WallTime now) const {
     const double boot_s = type.boot_s + arrivals.latest_spec().image_gb / type.fetch_gb_per_s;
-    const double expected = std::ceil(arrivals.machines_per_s(now) * boot_s * policy_.reserve);
-    const double least = policy_.reserve > 0 ? 1.0 : 0.0;
-    const double most = std::max(min_standby_limit, static_cast<double>(plan_.bins.size()) * standby_share);
+    const double expected = std::ceil(arrivals.machines_per_s(now) * boot_s * policy_.standby_factor);
+    const double least = policy_.standby_factor > 0 ? 1.0 : 0.0;
+    const double most =
+        std::max(min_standby_limit, static_cast<double>(plan_.machine_bins.size()) * standby_share);
     return static_cast<std::size_t>(std::clamp(expected, least, most));
 }
 
@@ -193,7 +194,7 @@
     std::size_t waiting = 0;
     for (const Demand& demand : plan_.demands)
         if (demand.spec->job_class == spec.job_class && demand.spec->is_service() == spec.is_service())
-            waiting += demand.tasks;
+            waiting += demand.task_count;
     return waiting;
 }
 
@@ -202,7 +203,7 @@
     const wire::JobSpec& spec = arrivals.latest_spec();
     const auto image_shares = arrivals.image_shares();
     RatedBins rated;
-    for (Bin& bin : plan_.bins) {
+    for (Bin& bin : plan_.machine_bins) {
         const wire::MachineType* type = state_cache_.machine_type(bin.type);
         if (!may_reserve(bin, type, spec)) continue;
         const bool runs = !spec.is_service() && runs_class(bin.id, reservation.job_class);
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -42,19 +42,19 @@
     return {spec.job_class,
             spec.rank,
             sched::PlacementConstraints::of(spec),
-            demand.pin,
+            demand.required_zone,
             amount_step(spec.need.cpu),
             amount_step(spec.need.gpu),
             amount_step(spec.need.ram),
-            static_cast<int>(demand.patience_s / similar_patience_s)};
+            static_cast<int>(demand.max_wait_s / similar_patience_s)};
 }
 
 void join(Demand& joined, const Demand& other) {
-    const double joined_tasks = joined.tasks, other_tasks = other.tasks;
-    joined.run_s =
-        (joined.run_s * joined_tasks + other.run_s * other_tasks) / std::max(1.0, joined_tasks + other_tasks);
-    joined.patience_s = std::min(joined.patience_s, other.patience_s);
-    joined.tasks += other.tasks;
+    const double joined_tasks = joined.task_count, other_tasks = other.task_count;
+    joined.run_time_s = (joined.run_time_s * joined_tasks + other.run_time_s * other_tasks) /
+                        std::max(1.0, joined_tasks + other_tasks);
+    joined.max_wait_s = std::min(joined.max_wait_s, other.max_wait_s);
+    joined.task_count += other.task_count;
     // What fits the larger fits both.
     if (other.spec->need.cpu > joined.spec->need.cpu) joined.spec = other.spec;
 }
@@ -98,16 +98,17 @@
         const double waited_s = static_cast<double>(now.value() - job->submitted.value()) / 1000.0;
         Demand demand;
         demand.spec = &job->spec;
-        demand.pin = job->assigned_zone;
-        demand.tasks = static_cast<TaskIndex>(tasks);
-        demand.run_s = std::max(min_run_s, expected_run_s(job->spec));
-        demand.patience_s = std::max(0.0, patience(settings, job->spec) * policy.patience - waited_s);
+        demand.required_zone = job->assigned_zone;
+        demand.task_count = static_cast<TaskIndex>(tasks);
+        demand.run_time_s = std::max(min_run_s, expected_run_time_s(job->spec));
+        demand.max_wait_s =
+            std::max(0.0, acceptable_wait_s(settings, job->spec) * policy.max_wait_factor - waited_s);
         demands.push_back(std::move(demand));
     }
     return demands;
 }
 
-std::vector<Demand> merge(std::vector<Demand> demands) {
+std::vector<Demand> merge_similar(std::vector<Demand> demands) {
     if (demands.size() <= max_unmerged) return demands;
     std::vector<Demand> merged;
     std::map<DemandGroup, std::size_t> index_by_group;
@@ -121,21 +122,23 @@
     return merged;
 }
 
-double expected_run_s(const wire::JobSpec& spec) { return spec.is_service() ? no_end_s : spec.estimate_s; }
+double expected_run_time_s(const wire::JobSpec& spec) {
+    return spec.is_service() ? no_end_s : spec.estimate_s;
+}
 
-double patience(const Settings& settings, const wire::JobSpec& spec) {
+double acceptable_wait_s(const Settings& settings, const wire::JobSpec& spec) {
     auto share_of_slack = [&](double limit_s) {
         return std::max(min_deadline_patience_s, (limit_s - spec.estimate_s) * patience_share_of_slack);
     };
-    double patience_s = spec.deadline_s ? share_of_slack(*spec.deadline_s) : default_patience_s;
+    double max_wait_s = spec.deadline_s ? share_of_slack(*spec.deadline_s) : default_patience_s;
     for (const auto& objective : settings.objectives) {
         if (objective.job_class != spec.job_class) continue;
         if (objective.kind == "wait")
-            patience_s = std::min(patience_s, objective.within_s * patience_share_of_wait);
+            max_wait_s = std::min(max_wait_s, objective.within_s * patience_share_of_wait);
         if (objective.kind == "finished")
-            patience_s = std::min(patience_s, share_of_slack(objective.within_s));
+            max_wait_s = std::min(max_wait_s, share_of_slack(objective.within_s));
     }
-    return patience_s;
+    return max_wait_s;
 }
 
 }  // namespace zincdyke::autoscaler
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -15,13 +15,13 @@
                                     const StateCache& state_cache, WallTime now);
 
 /// Of very many demands joins those that are alike in all that counts, so that planning stays quick.
-std::vector<Demand> merge(std::vector<Demand> demands);
+std::vector<Demand> merge_similar(std::vector<Demand> demands);
 
 /// How long a task is expected to run, in seconds. A service's replicas have no expected end: nothing is
 /// planned after them.
-double expected_run_s(const wire::JobSpec& spec);
+double expected_run_time_s(const wire::JobSpec& spec);
 
 /// How long a task of this class may wait for its start, by the aims in the settings, in seconds.
-double patience(const Settings& settings, const wire::JobSpec& spec);
+double acceptable_wait_s(const Settings& settings, const wire::JobSpec& spec);
 
 }  // namespace zincdyke::autoscaler
--- a/src/autoscaler/plan.cpp
+++ b/src/autoscaler/plan.cpp
@@ -35,7 +35,7 @@
         for (std::size_t i = 0; i < bin.slots.size(); ++i) add(bin.slots[i], b, i, type);
     }
     // Puts one task into the slot that is free first, if that is early enough.
-    bool place(double patience_s) {
+    bool place(double max_wait_s) {
         while (!heap_.empty()) {
             const Entry entry = heap_.top();
             Slot& slot = bins_[entry.bin].slots[entry.slot];
@@ -43,12 +43,12 @@
                 heap_.pop();
                 continue;
             }
-            if (entry.free_at > patience_s) return false;
+            if (entry.free_at > max_wait_s) return false;
             Bin& bin = bins_[entry.bin];
             const bool first = !std::exchange(bin.used, true);
             slot.room -= demand_.spec->need;
             bin.slots.push_back(
-                {entry.free_at + demand_.run_s + (first ? fetch_time(*demand_.spec, *entry.type) : 0),
+                {entry.free_at + demand_.run_time_s + (first ? fetch_time(*demand_.spec, *entry.type) : 0),
                  demand_.spec->need});
             add(bin.slots.back(), entry.bin, bin.slots.size() - 1, entry.type);
             return true;
@@ -77,7 +77,7 @@
         auto known = std::find_if(types_.begin(), types_.end(),
                                   [&](const auto& kind) { return kind.name == bin.type; });
         if (known != types_.end() &&
-            sched::machine_allowed(*demand_.spec, demand_.pin, bin.type, bin.zone, bin.spot) &&
+            sched::machine_allowed(*demand_.spec, demand_.required_zone, bin.type, bin.zone, bin.spot) &&
             sched::should_use_type(*demand_.spec, *known, types_))
             found = &*known;
         seen_.push_back({bin.type, bin.zone, bin.spot});
@@ -126,60 +126,60 @@
         wait_for_boot(demand);
         plan_demand(demand);
     }
-    for (const Bin& bin : input_.bins)
-        if (bin.used && !bin.id.empty()) plan_.wanted.insert(bin.id);
+    for (const Bin& bin : input_.machine_bins)
+        if (bin.used && !bin.id.empty()) plan_.needed_machines.insert(bin.id);
     return std::move(plan_);
 }
 
 // No machine rented now is there before its boot is over: until then, renting helps nobody.
 void Planner::wait_for_boot(Demand& demand) const {
     std::optional<double> soonest;
-    for (const auto& type : *input_.types)
+    for (const auto& type : *input_.machine_types)
         if (sched::type_allowed(*demand.spec, type))
             soonest = std::min(soonest.value_or(type.boot_s), type.boot_s);
-    if (soonest) demand.patience_s = std::max(demand.patience_s, *soonest + boot_margin_s);
+    if (soonest) demand.max_wait_s = std::max(demand.max_wait_s, *soonest + boot_margin_s);
 }
 
 void Planner::plan_demand(Demand& demand) {
-    TaskIndex left = demand.tasks;
+    TaskIndex left = demand.task_count;
     if (left == 0 || considered_ >= max_considered) return;
-    Openings openings(input_.bins, demand, *input_.types);
+    Openings openings(input_.machine_bins, demand, *input_.machine_types);
     while (left > 0 && considered_ < max_considered) {
         ++considered_;
-        if (!openings.place(demand.patience_s) && !place_on_new(demand, openings, left)) return;
+        if (!openings.place(demand.max_wait_s) && !place_on_new(demand, openings, left)) return;
         --left;
     }
 }
 
 // Rents one more machine for a demand of which `left` tasks have no place yet.
 bool Planner::place_on_new(const Demand& demand, Openings& openings, TaskIndex left) {
-    if (rented_ >= input_.most_new) return false;
+    if (rented_ >= input_.max_new_machines) return false;
     const std::optional<RentChoice> choice = cheapest_kind(demand, left);
     if (!choice) return false;
     const auto& [kind, type] = *choice;
-    ++plan_.rent[kind];
+    ++plan_.new_machines[kind];
     ++rented_;
-    input_.bins.push_back(
+    input_.machine_bins.push_back(
         {MachineId(), kind.type, kind.zone, kind.spot, {{type->boot_s, type->capacity}}, true, {}});
-    openings.add_bin(input_.bins.size() - 1);
+    openings.add_bin(input_.machine_bins.size() - 1);
     // Nothing is there sooner than a boot takes: what is rented for this task serves it however patient it
     // is.
-    return openings.place(std::max(demand.patience_s, type->boot_s + boot_margin_s));
+    return openings.place(std::max(demand.max_wait_s, type->boot_s + boot_margin_s));
 }
 
 // The kind that costs least for each of the tasks that it would take on.
 std::optional<RentChoice> Planner::cheapest_kind(const Demand& demand, TaskIndex left) const {
     std::optional<RentChoice> cheapest;
     double least = std::numeric_limits<double>::max();
-    for (const auto& type : *input_.types) {
+    for (const auto& type : *input_.machine_types) {
         if (!sched::type_allowed(*demand.spec, type)) continue;
-        if (!sched::should_use_type(*demand.spec, type, *input_.types)) continue;
+        if (!sched::should_use_type(*demand.spec, type, *input_.machine_types)) continue;
         const Service served = service(demand, type, left);
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
                 MachineKind kind{type.name, zone, spot};
-                if (!sched::machine_allowed(*demand.spec, demand.pin, type.name, zone, spot) ||
-                    input_.refused.contains(kind))
+                if (!sched::machine_allowed(*demand.spec, demand.required_zone, type.name, zone, spot) ||
+                    input_.unavailable_kinds.contains(kind))
                     continue;
                 const double cost = (spot ? type.spot_price : type.price) * served.rented_s / served.tasks;
                 if (cost < least) {
@@ -198,10 +198,11 @@
     const std::int64_t at_once =
         std::min({fitting(type.capacity.cpu, need.cpu), fitting(type.capacity.gpu, need.gpu),
                   fitting(type.capacity.ram, need.ram)});
-    const double turns = std::max(1.0, 1 + (demand.patience_s - type.boot_s) / std::max(1.0, demand.run_s));
+    const double turns =
+        std::max(1.0, 1 + (demand.max_wait_s - type.boot_s) / std::max(1.0, demand.run_time_s));
     const double taken = std::min(static_cast<double>(tasks), static_cast<double>(at_once) * turns);
-    const double run_s = demand.run_s * std::max(1.0, taken / static_cast<double>(at_once));
-    return {taken, type.boot_s + fetch_time(*demand.spec, type) + run_s};
+    const double run_time_s = demand.run_time_s * std::max(1.0, taken / static_cast<double>(at_once));
+    return {taken, type.boot_s + fetch_time(*demand.spec, type) + run_time_s};
 }
 }  // namespace
 
--- a/src/autoscaler/plan.h
+++ b/src/autoscaler/plan.h
@@ -34,10 +34,10 @@
 /// Waiting tasks of one job.
 struct Demand {
     const wire::JobSpec* spec = nullptr;
-    std::optional<std::string> pin;
-    TaskIndex tasks = 0;
-    double run_s = 0;       ///< Expected, without the fetch of the image.
-    double patience_s = 0;  ///< How much longer its tasks may wait for their start.
+    std::optional<std::string> required_zone;
+    TaskIndex task_count = 0;
+    double run_time_s = 0;  ///< Expected, without the fetch of the image.
+    double max_wait_s = 0;  ///< How much longer its tasks may wait for their start.
 };
 
 /// What is rented: machines of one kind are interchangeable.
@@ -48,16 +48,16 @@
 };
 
 struct PlanInput {
-    std::vector<Bin> bins;
+    std::vector<Bin> machine_bins;
     std::vector<Demand> demands;  ///< The most urgent first.
-    const std::vector<wire::MachineType>* types = nullptr;
-    std::set<MachineKind> refused;  ///< The cloud has none of these now.
-    std::size_t most_new = 50;
+    const std::vector<wire::MachineType>* machine_types = nullptr;
+    std::set<MachineKind> unavailable_kinds;  ///< The cloud has none of these now.
+    std::size_t max_new_machines = 50;
 };
 
 struct Plan {
-    std::map<MachineKind, std::uint32_t> rent;
-    std::set<MachineId> wanted;  ///< Rented machines that have waiting work to do.
+    std::map<MachineKind, std::uint32_t> new_machines;
+    std::set<MachineId> needed_machines;  ///< Rented machines that have waiting work to do.
 };
 
 /// Packs the demands into the bins, and rents machines for what finds no room there in time.
--- a/src/autoscaler/preemption.cpp
+++ b/src/autoscaler/preemption.cpp
@@ -60,7 +60,7 @@
         auto since = placed_since_.find({ref, state_cache_.task(ref).attempt});
         if (since == placed_since_.end()) return std::nullopt;
         const double ran_s = to_seconds(env_.now() - since->second);
-        if (ran_s > policy_.preempt_loss_s) return std::nullopt;
+        if (ran_s > policy_.max_lost_work_s) return std::nullopt;
         loss_s += ran_s;
     }
     return loss_s;
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -88,7 +88,7 @@
     if (complete) return;
     double pause_s = rent_retry_s;
     if (outcome == CloudClient::Rent::no_capacity || outcome == CloudClient::Rent::ok)
-        pause_s = policy_.refused_pause_s;
+        pause_s = policy_.no_capacity_pause_s;
     else if (outcome == CloudClient::Rent::unknown)
         pause_s = settings_.list_lag_s * unknown_outcome_list_lags + rent_retry_s;
     refused_until_[kind] = now + seconds(pause_s);
--- a/src/autoscaler/provisioner.h
+++ b/src/autoscaler/provisioner.h
@@ -10,7 +10,7 @@
 #include "autoscaler/plan.h"
 #include "base/env.h"
 #include "base/settings.h"
-#include "cloud/cloud.h"
+#include "cloud/cloud_client.h"
 #include "cluster/cluster_coordinator.h"
 #include "cluster/peer_channel.h"
 #include "policy/policy.h"
--- a/src/autoscaler/reservations.cpp
+++ b/src/autoscaler/reservations.cpp
@@ -23,7 +23,7 @@
     record_arrivals();
     preemptor_.expire();
     ReservationMap reserved =
-        GangReservations(settings_, state_cache_, preemptor_, reserved_, plan.bins).reserve(now);
+        GangReservations(settings_, state_cache_, preemptor_, reserved_, plan.machine_bins).reserve(now);
     ClassReservations classes(settings_, policy_, state_cache_, preemptor_, reserved_, plan);
     std::vector<Demand> standby;
     for (auto& [kind, arrivals] : arrivals_) {
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "cloud/cloud.h"
+#include "cloud/cloud_client.h"
 
 #include "base/log.h"
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -41,14 +41,14 @@
     double low, high;
 };
 constexpr Field fields[] = {
-    {"idle_keep_s", &Policy::idle_keep_s, 0, 86400},
-    {"idle_keep_boots", &Policy::idle_keep_boots, 0, 100},
-    {"silent_keep_s", &Policy::silent_keep_s, 0, 86400},
-    {"boot_limit", &Policy::boot_limit, 1, 100},
-    {"refused_pause_s", &Policy::refused_pause_s, 1, 3600},
-    {"patience", &Policy::patience, 0, 100},
-    {"reserve", &Policy::reserve, 0, 100},
-    {"preempt_loss_s", &Policy::preempt_loss_s, 0, 86400},
+    {"idle_keep_s", &Policy::min_idle_s, 0, 86400},
+    {"idle_keep_boots", &Policy::min_idle_boot_times, 0, 100},
+    {"silent_keep_s", &Policy::silent_grace_s, 0, 86400},
+    {"boot_limit", &Policy::boot_timeout_factor, 1, 100},
+    {"refused_pause_s", &Policy::no_capacity_pause_s, 1, 3600},
+    {"patience", &Policy::max_wait_factor, 0, 100},
+    {"reserve", &Policy::standby_factor, 0, 100},
+    {"preempt_loss_s", &Policy::max_lost_work_s, 0, 86400},
 };
 
 // The setting of this name; throws when there is none.
